--- a/src/direct/backoff.rs
+++ b/src/direct/backoff.rs
@@ -1,12 +1,13 @@
-//! Endpoints that asked this gateway to send nothing for a while.
+//! Endpoints that asked this gateway for a pause (backoff).
 //!
-//! An endpoint that turns a request away may say for how long it wants nothing from the gateway that asked. It holds
-//! for each gateway by itself, for all that goes to that endpoint (requests, pieces, reports, results to be freed,
-//! probes), and for the life that said so: it ends with its time or with another life, and nothing that
-//! is answered meanwhile shortens it. A gateway that starts knows of none.
+//! An endpoint that refuses a request may state for how long this gateway should send it nothing.
+//! The pause applies to this gateway only, to everything sent to the endpoint (requests, pieces,
+//! reports, results to be freed, probes), and to the incarnation that asked for it. It ends when
+//! its time is over or when another incarnation starts; later responses do not shorten it. A
+//! gateway starts without any pauses.
 //!
-//! Its end is no time for all to come back at: gateways add a part of their own, and each fills the endpoint by
-//! degrees ([`crate::direct::requests::ramp`]).
+//! To avoid that all gateways resume at the same moment, each adds a different delay to the pause,
+//! and each ramps up its requests to the endpoint ([`crate::direct::requests::ramp`]).
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,17 +19,20 @@
 use crate::direct::statement::Backoff;
 use crate::message::Timestamp;
 
-/// What an endpoint gets that asked for a time which can't be read: the shortest in whole seconds.
+/// Pause for an endpoint whose backoff time can't be parsed: the shortest in whole seconds.
 const UNCLEAR: Duration = Duration::from_secs(1);
-/// No endpoint is left alone for longer because it said so once: nobody sheds load for an hour, and an endpoint that
-/// states a date in seconds would be lost to this gateway until either starts again.
+/// Longest pause that one response can cause. No endpoint sheds load for an hour, and one that
+/// sends a date as a number of seconds would otherwise be unusable by this gateway until either
+/// process restarts.
 const LONGEST: Duration = Duration::from_secs(3_600);
-/// Of the time that is asked for, up to so much is added, another part for each gateway and endpoint: an endpoint
-/// that turned 100 gateways away in one second gets them back over as much again as a quarter of its pause.
+/// Maximum share of the backoff time that is added as a delay, different for each gateway and
+/// endpoint. An endpoint that refused 100 gateways within one second is called again over that
+/// second plus a quarter of the pause.
 const SPREAD: f64 = 0.25;
-/// And no more than that.
+/// Maximum delay that is added to a pause.
 const LONGEST_SPREAD: Duration = Duration::from_secs(1);
-/// Endpoints that are kept at most; bounds memory. In two years 3,000 are expected.
+/// Maximum number of pauses that are kept; bounds memory. 3,000 endpoints are expected in two
+/// years.
 const MOST: usize = 4_096;
 
 #[derive(Debug, Clone, Copy)]
@@ -37,22 +41,22 @@
     until: Timestamp,
 }
 
-/// The endpoints that one gateway leaves alone.
+/// Endpoints to which one gateway currently sends nothing.
 #[derive(Debug, Clone)]
 pub struct Backoffs {
-    /// Sets this gateway's part of the spread apart from others'.
+    /// Seed from the gateway's address; makes the delay differ between gateways.
     seed: u64,
     endpoints: HashMap<Name, Pause>,
 }
 
 impl Backoffs {
-    /// None is known to the gateway of this address.
+    /// Creates the empty set of pauses for the gateway with this address.
     pub fn new(own: SocketAddr) -> Self {
         Self { seed: xxh3_64(own.to_string().as_bytes()), endpoints: HashMap::new() }
     }
 
-    /// An endpoint asked for a pause in an answer that was read at a time; says until when it is left alone, where
-    /// that is later than was known.
+    /// Records the backoff of a response that was read `at` this time. Returns when the pause ends,
+    /// if that is later than known before.
     pub fn asked(
         &mut self,
         endpoint: &Endpoint,
@@ -77,13 +81,14 @@
         Some(until)
     }
 
-    /// What this gateway adds to a pause.
+    /// Delay that this gateway adds to a pause.
     fn spread(&self, endpoint: &Endpoint, asked: Duration) -> Duration {
         let drawn = xxh3_64_with_seed(endpoint.id.as_bytes(), self.seed) as f64 / u64::MAX as f64;
         asked.mul_f64(SPREAD).min(LONGEST_SPREAD).mul_f64(drawn)
     }
 
-    /// Forgets pauses that are over, and the one that ends first where there are too many.
+    /// If the maximum is reached, removes expired pauses, and then, if needed, the one that ends
+    /// first.
     fn make_room(&mut self, now: Timestamp) {
         if self.endpoints.len() < MOST {
             return;
@@ -97,18 +102,18 @@
         }
     }
 
-    /// Until when an endpoint is left alone; `None` if it is not.
+    /// When the pause of an endpoint ends; `None` if it has none.
     pub fn until(&self, endpoint: &Endpoint, now: Timestamp) -> Option<Timestamp> {
         let pause = self.endpoints.get(&endpoint.id)?;
         (pause.incarnation == endpoint.incarnation && now < pause.until).then_some(pause.until)
     }
 
-    /// How many pauses are kept.
+    /// Number of pauses that are kept.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Whether none is.
+    /// Whether no pause is kept.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
--- a/src/direct/cold.rs
+++ b/src/direct/cold.rs
@@ -1,15 +1,17 @@
-//! What a gateway may send to endpoints that are cold: its part of what each of them bears.
+//! Limits requests to cold endpoints, which have just started: each gateway uses only its share of
+//! what such an endpoint can handle.
 //!
-//! The pattern: a data centre's endpoints come back together while callers press. Each bears a few requests a
-//! second, from all gateways together, and falls over well above that; each looks idle, so that everybody
-//! would choose it at once.
+//! The failure this prevents: all endpoints of a data centre restart together while callers send
+//! their full load. Each endpoint handles only a few requests per second, from all gateways
+//! together, and fails well above that. Each looks idle, so that all gateways would choose it at
+//! once.
 //!
-//! Nobody hands the places out, so nobody has to be asked, known or alive. Each gateway sends at most one
-//! request in a turn; a turn is as long as all gateways that may exist need for one request each. It begins
-//! at a random moment of its first turn, so that gateways which learn of an endpoint together don't send to it
-//! together. Ways weighed: one gateway that sends for all (two views of the members are two such gateways,
-//! and where all endpoints are cold most gateways have nothing to send to); chance alone, for each request (a
-//! burst passes it on).
+//! No gateway assigns time slots, so none has to be reachable or known. Each gateway sends at most
+//! one request per period; a period is as long as all possible gateways need for one request each.
+//! The slot is at a random moment of the first period, so that gateways which learn of an endpoint
+//! together do not send to it together. Alternatives considered: one gateway that sends for all
+//! (with two views of the members there are two such gateways, and where all endpoints are cold
+//! most gateways have nowhere to send); a random choice for each request (does not dampen a burst).
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -22,53 +24,56 @@
 use crate::direct::published::table::Table;
 use crate::message::Timestamp;
 
-/// Of what an endpoint bears, so much is used. Gateways that begin at random moments send at random moments:
-/// of 10 a second, 6 are sent on average, and more than 15 in one second once in 2,000 seconds, by
-/// calculation.
+/// Share of a cold endpoint's capacity that is used. Gateways with random slots send at random
+/// moments: with a capacity of 10 per second, 6 are sent on average, and by calculation more than
+/// 15 within one second once in 2,000 seconds.
 const USED: f64 = 0.6;
-/// A process that has just started knows too few others for its part: it sends to no cold endpoint for so
-/// long. A heartbeat reaches all of 100 gateways in four rounds of 200 ms.
+/// How long a process sends to no cold endpoint after its start, since it knows too few other
+/// gateways to calculate its share. A heartbeat reaches all of 100 gateways in four rounds of 200
+/// ms.
 const GATHERING: Duration = Duration::from_millis(1_500);
-/// A turn is open for so long, and lost then: turns that are not used, while an endpoint is evacuated or nobody
-/// calls, must not be used all at once. In a schedule of 97 gateways 23 requests were, in the second after.
+/// How long a slot stays open; afterwards it is lost. Slots that were not used, while an endpoint
+/// was evacuated or no requests arrived, must not be used all at once: in a simulated schedule of
+/// 97 gateways, 23 requests were sent that way in the following second.
 const OPEN: Duration = Duration::from_millis(500);
-/// An endpoint that could not be reached is tried again within that, and may have started meanwhile.
+/// An unreachable endpoint is retried within this time, and may have started in between.
 const TRIED_AGAIN: Duration = Duration::from_secs(4);
 
-/// No endpoint is taken for cold for longer than that after it told so; bounds memory.
+/// Longest time for which an endpoint counts as cold after it reported so; bounds memory.
 const LONGEST: Duration = Duration::from_secs(60);
 
-/// One cold endpoint.
+/// State of one cold endpoint.
 #[derive(Debug, Clone)]
 struct Cold {
     incarnation: u64,
-    /// Whether nothing but a failed connection says so: then its entry tells nothing to the contrary, which may
-    /// have been written before.
+    /// Whether the endpoint is only assumed to be cold, after a failed connection or an evacuation.
+    /// An entry that says otherwise is then ignored, since it may have been written before.
     is_suspected: bool,
     until: Timestamp,
-    /// The next request is sent so many turns, ...
+    /// Number of periods between `since` and the next slot.
     turns: f64,
-    /// ... after this.
+    /// When the last request was sent, or when the endpoint became cold.
     since: Timestamp,
 }
 
-/// The endpoints that one gateway takes for cold.
+/// Endpoints that one gateway treats as cold.
 #[derive(Debug, Clone)]
 pub struct ColdEndpoints {
-    /// Sets the random moments of this gateway apart from others'.
+    /// Seed from the gateway's address; makes the slots differ between gateways.
     seed: u64,
-    /// When this gateway had its first configuration.
+    /// When this gateway received its first configuration.
     started: Option<Timestamp>,
     endpoints: HashMap<Name, Cold>,
 }
 
-/// The time in which `gateways` send one request each.
+/// Length of the period in which `gateways` send one request each.
 fn turn(bears: ColdStart, gateways: usize) -> Duration {
     let seconds = gateways.max(1) as f64 / (bears.per_second * USED).max(f64::MIN_POSITIVE);
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
 }
 
-/// When the turn begins that is open at a time or comes next; the first one begins at `first`.
+/// Start of the slot that is open at `now`, or else of the next one; the first slot starts at
+/// `first`.
 fn next_turn(first: Timestamp, turn: Duration, now: Timestamp) -> Timestamp {
     let since_first = now.saturating_sub(first);
     if since_first.is_zero() || turn <= OPEN {
@@ -80,13 +85,13 @@
 }
 
 impl ColdEndpoints {
-    /// None is known to the gateway of this address.
+    /// Creates the empty set for the gateway with this address.
     pub fn new(own: SocketAddr) -> Self {
         let seed = xxh3_64(own.to_string().as_bytes());
         Self { seed, started: None, endpoints: HashMap::new() }
     }
 
-    /// Learns from entries that changed, also those that come before the configuration.
+    /// Applies changed entries, including those that arrive before the configuration.
     pub fn learn(&mut self, table: &Table, changed: &[Arc<Endpoint>], now: Timestamp) {
         if table.is_configured() {
             self.started.get_or_insert(now);
@@ -97,7 +102,7 @@
         self.endpoints.retain(|_, cold| now < cold.until);
     }
 
-    /// An endpoint told how much longer it is cold.
+    /// Records how much longer an endpoint reports to be cold.
     pub fn told(&mut self, endpoint: &Endpoint, left: Duration, now: Timestamp) {
         if !left.is_zero() {
             return self.until(endpoint, false, now + left.min(LONGEST), now);
@@ -108,13 +113,14 @@
         }
     }
 
-    /// An endpoint can't be reached: if it is back, it has probably started anew.
+    /// Assumes an unreachable endpoint to be cold: once it is reachable again, it has probably
+    /// restarted.
     pub fn unreachable(&mut self, endpoint: &Endpoint, bears: ColdStart, now: Timestamp) {
         self.until(endpoint, true, now + TRIED_AGAIN + bears.lasts, now);
     }
 
-    /// Data centres get work again: their endpoints, which may have started meanwhile without anybody's calling
-    /// them, are filled by degrees.
+    /// Assumes the endpoints of data centres whose evacuation ended to be cold: they may have
+    /// restarted in the meantime without receiving any calls.
     pub fn return_of(&mut self, data_centres: &BTreeSet<Name>, table: &Table, now: Timestamp) {
         for pool in &table.deployment.pools {
             let Some(bears) = pool.cold else {
@@ -143,7 +149,8 @@
         self.endpoints.insert(endpoint.id.clone(), cold);
     }
 
-    /// When this gateway, one of so many, may send to an endpoint; `None` if at any time.
+    /// When this gateway, one of `gateways`, may next send to an endpoint; `None` if it may send
+    /// now.
     pub fn opens(
         &self,
         endpoint: &Endpoint,
@@ -163,7 +170,7 @@
         Some(next_turn(first, turn, now).min(cold.until)).filter(|opens| *opens > now)
     }
 
-    /// So many requests were sent to an endpoint together.
+    /// Records that a number of requests were sent to an endpoint together.
     pub fn sent(&mut self, endpoint: &Endpoint, requests: usize, now: Timestamp) {
         if let Some(cold) = self.endpoints.get_mut(&endpoint.id) {
             cold.since = now;
@@ -171,7 +178,7 @@
         }
     }
 
-    /// Whether an endpoint is taken for cold.
+    /// Whether an endpoint currently counts as cold.
     pub fn is_cold(&self, endpoint: &str, now: Timestamp) -> bool {
         self.endpoints.get(endpoint).is_some_and(|cold| now < cold.until)
     }
--- a/src/direct/departures.rs
+++ b/src/direct/departures.rs
@@ -1,11 +1,13 @@
-//! Endpoints that said in their answers that they leave.
+//! Endpoints that announced in their responses that they are leaving.
 //!
-//! The list of endpoints may not tell for as long as its publisher is away. What an endpoint said itself holds for the
-//! life that said so, whatever the list says of that life before or after: nobody who leaves stays. Only
-//! another life under the id takes work again.
+//! While the publisher is unavailable, the list of endpoints may not show that an endpoint is
+//! leaving. An announcement by the endpoint itself is final for its incarnation, whatever the list
+//! states before or after it: an endpoint that is leaving never returns to service. Only another
+//! incarnation under the same id gets work again.
 //!
-//! Gateways tell each other, so that each endpoint has to say it once, and a gateway that starts knows. What is known is
-//! a set that only grows, so accounts merge in any order; lives that are listed no more are forgotten in the end.
+//! Gateways gossip departures, so that each endpoint has to announce its departure only once and a
+//! starting gateway learns of it. The known departures form a set that only grows, so gossip can be
+//! merged in any order. Incarnations that are no longer listed are removed after [`KEPT`].
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,30 +17,31 @@
 use crate::direct::published::model::{Endpoint, Name};
 use crate::message::Timestamp;
 
-/// A life that is not listed is remembered for so long after it was last heard of: entries may lapse and return while
-/// their publisher is away for minutes.
+/// How long a departure is kept after its incarnation was last listed or announced: entries may
+/// expire and be restored while their publisher is unavailable for minutes.
 const KEPT: Duration = Duration::from_secs(600);
-/// How often such lives are looked at.
+/// How often departures are checked for expiry.
 const FORGET_EVERY: Duration = Duration::from_secs(5);
-/// Lives that are kept at most; bounds memory. In two years 3,000 endpoints are expected, of which few leave at once.
+/// Maximum number of departures that are kept; bounds memory. 3,000 endpoints are expected in two
+/// years, few of which leave at the same time.
 const MOST: usize = 4_096;
-/// Each gateway that hears of a departure tells it with so many heartbeats, to eight others each: one that nobody of
-/// 580 tells is one in 9,000,000, by calculation.
+/// Number of heartbeats with which each gateway gossips a departure, to eight peers each. By
+/// calculation, one departure in 9,000,000 is then gossiped by none of 580 gateways.
 const TOLD: u8 = 2;
-/// Departures in one heartbeat at most; the others follow with the next ones.
+/// Maximum number of departures in one heartbeat; the others follow with the next ones.
 const MOST_TOLD: usize = 256;
 
-/// A life of an endpoint that leaves.
+/// Incarnation of an endpoint that is leaving.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Departure {
-    /// The endpoint's id.
+    /// Id of the endpoint.
     pub endpoint: Name,
-    /// Its life.
+    /// Incarnation that is leaving.
     pub incarnation: u64,
 }
 
 impl Departure {
-    /// That of the life that an endpoint is in.
+    /// Departure of the endpoint's current incarnation.
     pub fn of(endpoint: &Endpoint) -> Self {
         Self { endpoint: endpoint.id.clone(), incarnation: endpoint.incarnation }
     }
@@ -47,22 +50,23 @@
 #[derive(Debug, Clone, Copy)]
 struct Known {
     heard: Timestamp,
-    /// With so many heartbeats it has yet to be told.
+    /// Number of heartbeats that still have to carry this departure.
     to_tell: u8,
 }
 
-/// What one gateway knows of them.
+/// Departures that one gateway knows.
 #[derive(Debug, Default)]
 pub struct Departures {
     lives: BTreeMap<Departure, Known>,
-    /// Whether something has yet to be told.
+    /// Whether a departure still has to be gossiped.
     has_news: bool,
-    /// No life is forgotten earlier.
+    /// When departures are next checked for expiry.
     forget_from: Timestamp,
 }
 
 impl Departures {
-    /// An endpoint or another gateway said that a life leaves; says whether that is new.
+    /// Records a departure announced by the endpoint or by another gateway; returns whether it is
+    /// new.
     pub fn heard(&mut self, departure: Departure, now: Timestamp) -> bool {
         if let Some(known) = self.lives.get_mut(&departure) {
             known.heard = now;
@@ -79,27 +83,27 @@
         true
     }
 
-    /// Whether a life is known to leave.
+    /// Whether an incarnation is known to be leaving.
     pub fn has(&self, departure: &Departure) -> bool {
         self.lives.contains_key(departure)
     }
 
-    /// Whether the next one that is heard of takes another one's place.
+    /// Whether the next new departure replaces the oldest one.
     pub fn is_full(&self) -> bool {
         self.lives.len() >= MOST
     }
 
-    /// How many lives are.
+    /// Number of known departures.
     pub fn len(&self) -> usize {
         self.lives.len()
     }
 
-    /// Whether none is.
+    /// Whether no departure is known.
     pub fn is_empty(&self) -> bool {
         self.lives.is_empty()
     }
 
-    /// What goes with the next heartbeat, but for what the list tells by now.
+    /// Departures to gossip with the next heartbeat, without those that the list already shows.
     pub fn news(&mut self, is_listed_so: impl Fn(&Departure) -> bool) -> Vec<Departure> {
         if !self.has_news {
             return Vec::new();
@@ -117,7 +121,7 @@
         news
     }
 
-    /// What a gateway is told that is heard for the first time: the last ones that the list does not tell.
+    /// Departures sent to a gateway that joins: the latest ones that the list does not show.
     pub fn all(&self, is_listed_so: impl Fn(&Departure) -> bool) -> Vec<Departure> {
         let untold = self.lives.iter().filter(|(departure, _)| !is_listed_so(departure));
         let mut untold: Vec<_> = untold.map(|(d, known)| (known.heard, d)).collect();
@@ -125,7 +129,8 @@
         untold.into_iter().take(MOST_TOLD).map(|(_, departure)| departure.clone()).collect()
     }
 
-    /// Forgets lives that were not listed and not heard of for long; says whether any was.
+    /// Removes departures that have not been listed or announced for [`KEPT`]; returns whether any
+    /// was removed.
     pub fn forget(&mut self, is_listed: impl Fn(&Departure) -> bool, now: Timestamp) -> bool {
         if now < self.forget_from {
             return false;
--- a/src/direct/gates.rs
+++ b/src/direct/gates.rs
@@ -1,9 +1,11 @@
-//! Endpoints to which nothing more may go out, for messages that were ordered before that was known.
+//! Last check before a message is sent: blocks endpoints that became unavailable after the message
+//! was queued.
 //!
-//! A message waits for its connection to come up, behind what fills its host's link or in a process without a
-//! processor. The core decides and tells; each message looks here once it could go out, and one that does not is proved
-//! not to have been sent. An endpoint with a limit gets nothing without a permit, whatever it is and however it was ordered:
-//! a way of calling that forgot to ask for one sends nothing.
+//! A message may wait for its connection, for a congested link of the host, or in a process that
+//! gets no processor time. The core closes the gate of an endpoint; each message checks the gate
+//! once it could be sent, and one that is blocked is proven not to have been sent. An endpoint with
+//! a rate limit gets no message of any kind without a permit, so a code path that fails to request
+//! a permit sends nothing.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,22 +15,22 @@
 use crate::direct::statement::Asked;
 use crate::message::Timestamp;
 
-/// A message that was ordered goes out within that, or its connection was given up: for longer a gate need not be
-/// kept, since nothing is ordered behind it.
+/// How long a closed gate is kept. A message is sent within this time after it was queued, or its
+/// connection attempt has timed out; nothing new is queued for a closed gate.
 const KEPT: Duration = Duration::from_secs(60);
 
 #[derive(Debug, Clone, Copy)]
 struct Closed {
-    /// For new work, for good.
+    /// No new work, permanently: the endpoint is leaving.
     leaving: bool,
-    /// For everything.
+    /// No messages at all until this time.
     until: Timestamp,
-    /// For everything without a permit.
+    /// No messages without a permit.
     is_limited: bool,
     kept_until: Timestamp,
 }
 
-/// The gates of one gateway.
+/// Gates of all endpoints, shared by the tasks of one gateway.
 #[derive(Debug, Clone, Default)]
 pub struct Gates {
     closed: Arc<Mutex<HashMap<(Name, u64), Closed>>>,
@@ -39,7 +41,7 @@
         self.closed.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Nothing goes out to this life of an endpoint until a time, or without one no new work for good.
+    /// Blocks an incarnation: all messages until a time, or, without one, new work permanently.
     pub fn close(&self, endpoint: Name, life: u64, until: Option<Timestamp>, now: Timestamp) {
         let mut closed = self.lock();
         let gate = gate(&mut closed, endpoint, life, now);
@@ -48,20 +50,20 @@
         gate.kept_until = gate.until.max(now + KEPT);
     }
 
-    /// Nothing goes out to this life of an endpoint without a permit, or everything again.
+    /// Sets whether messages to an incarnation need a permit.
     pub fn limit(&self, endpoint: Name, life: u64, is_limited: bool, now: Timestamp) {
         let mut closed = self.lock();
         gate(&mut closed, endpoint, life, now).is_limited = is_limited;
     }
 
-    /// Whether a life of an endpoint gets nothing without a permit.
+    /// Whether messages to this incarnation of an endpoint need a permit.
     pub fn is_limited(&self, endpoint: &Endpoint) -> bool {
         let closed = self.lock();
         let gate = closed.get(&(endpoint.id.clone(), endpoint.incarnation));
         gate.is_some_and(|gate| gate.is_limited)
     }
 
-    /// Whether a message may go out now, whose permit holds until a time.
+    /// Whether a message may be sent now; `permit` is when its permit expires.
     pub fn is_open(
         &self,
         endpoint: &Endpoint,
@@ -82,7 +84,7 @@
     }
 }
 
-/// The gate of a life; those that nothing needs any more go.
+/// Returns the gate of an incarnation, open if it is new; removes gates that are no longer needed.
 fn gate(
     closed: &mut HashMap<(Name, u64), Closed>,
     endpoint: Name,
--- a/src/direct/lateness.rs
+++ b/src/direct/lateness.rs
@@ -1,19 +1,22 @@
-//! How late a process handles what happens to it: the first sign that its host is short of processor time.
+//! Measures how long events wait before the process handles them: the first sign that the host
+//! lacks processor time.
 
 use std::time::Duration;
 
 use crate::message::Timestamp;
 
-/// The weight of one event: a stall of the host is forgotten after a few events that did not wait.
+/// Weight of one event in the average: after a stall of the host, a few events without delay bring
+/// the average down.
 const WEIGHT: f64 = 0.2;
-/// Where little happens, lateness halves in that time.
+/// Half-life of the average while no events arrive.
 const HALVES: Duration = Duration::from_millis(200);
-/// From there on, a process is short of time: a scheduler's slice on a busy host is shorter.
+/// Lag from which the process counts as overloaded; longer than a scheduler time slice on a busy
+/// host.
 pub const SHORT: Duration = Duration::from_millis(20);
-/// Below that it is not any more.
+/// Lag at which the process no longer counts as overloaded.
 const ENOUGH: Duration = Duration::from_millis(5);
 
-/// How long events wait before they are handled, smoothed.
+/// Smoothed time for which events wait before they are handled.
 #[derive(Debug, Default)]
 pub struct Lateness {
     seconds: f64,
@@ -22,20 +25,20 @@
 }
 
 impl Lateness {
-    /// An event waited so long.
+    /// Records how long an event waited.
     pub fn waited(&mut self, waited: Duration, now: Timestamp) {
         let before = self.now(now).as_secs_f64();
         self.seconds = (waited.as_secs_f64() - before).mul_add(WEIGHT, before);
         self.at = now;
     }
 
-    /// How long an event that happens now waits, as far as is known.
+    /// Estimated wait of an event that occurs now.
     pub fn now(&self, now: Timestamp) -> Duration {
         let halvings = now.saturating_sub(self.at).as_secs_f64() / HALVES.as_secs_f64();
         Duration::from_secs_f64(self.seconds * 0.5f64.powf(halvings))
     }
 
-    /// Whether the process is short of time, if that changed since it was last asked.
+    /// Whether the process is overloaded, if that changed since the last call.
     pub fn changed(&mut self, now: Timestamp) -> Option<bool> {
         let late = self.now(now);
         let is_short = if self.is_short { late > ENOUGH } else { late >= SHORT };
--- a/src/direct/limits/known.rs
+++ b/src/direct/limits/known.rs
@@ -1,11 +1,13 @@
-//! What a gateway knows of the limits that endpoints name.
+//! Rate limits of endpoints as one gateway knows them.
 //!
-//! A limit holds for the life that named it until an answer lacks it to a message that went out after it was known:
-//! answers overlap, and one that was written before may be read after. Then what the endpoint gets grows by degrees,
-//! so that a limit that comes and goes is no stampede each time.
+//! A limit applies to the incarnation that announced it. It ends when a response to a message sent
+//! after the limit became known carries no limit: responses overlap, so one without a limit may
+//! have been written before the limit and read after it. The rate then grows in steps until it is
+//! unlimited, so that a limit which is repeatedly set and dropped does not cause a burst each time.
 //!
-//! Gateways tell each other. Whoever hears something new from an answer counts the version on, and of two accounts the
-//! newer one holds; of two that were counted on at once, the stricter one.
+//! Gateways share limits by gossip. A gateway that learns something new from a response increments
+//! the version of the entry. The higher version wins; of two entries with the same version, updated
+//! concurrently, the stricter one wins.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -17,35 +19,38 @@
 use crate::direct::statement::{RateLimit, RequestRate};
 use crate::message::Timestamp;
 
-/// An endpoint that names no limit any more is free after so long; until then it gets twice as much each second.
+/// How long after its limit ended an endpoint becomes unlimited. Until then its rate doubles every
+/// [`DOUBLES_EVERY`].
 const FREED_AFTER: Duration = Duration::from_secs(5);
-/// Within that, it gets twice as much.
+/// How often the rate doubles after a limit ended.
 const DOUBLES_EVERY: Duration = Duration::from_secs(1);
-/// A life that is not listed is forgotten so long after something new was last heard of it, as one without a limit is.
+/// How long an entry is kept after its last change if its incarnation is no longer listed or no
+/// longer limited.
 const KEPT: Duration = Duration::from_secs(600);
-/// How often such lives are looked at.
+/// How often entries are checked for expiry.
 const FORGET_EVERY: Duration = Duration::from_secs(5);
-/// Lives that are kept at most; bounds memory. In two years 3,000 endpoints are expected, of which few are in need at once.
+/// Maximum number of incarnations that are kept; bounds memory. 3,000 endpoints are expected in two
+/// years, few of which announce a limit at the same time.
 const MOST: usize = 4_096;
-/// Each gateway that hears something new tells it with so many heartbeats, to eight others each: one that nobody of 580
-/// tells is one in 9,000,000, by calculation.
+/// Number of heartbeats with which each gateway gossips a change, to eight peers each. By
+/// calculation, one change in 9,000,000 is then gossiped by none of 580 gateways.
 const TOLD: u8 = 2;
-/// Lives in one heartbeat at most; the others follow with the next ones.
+/// Maximum number of limits in one heartbeat; the others follow with the next ones.
 const MOST_TOLD: usize = 256;
 
-/// A life of an endpoint: its id, and when it started.
+/// Incarnation of an endpoint: the endpoint's id and the time of its start.
 pub type Life = (Name, u64);
 
-/// What one gateway tells another of the limit of an endpoint.
+/// Limit of an endpoint, as gossiped between gateways.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitTold {
-    /// The endpoint's id.
+    /// Id of the endpoint.
     pub endpoint: Name,
-    /// Its life.
+    /// Incarnation that announced the limit.
     pub incarnation: u64,
-    /// Counts what gateways heard of that life.
+    /// Number of changes of this incarnation's limit; the highest version wins.
     pub version: u64,
-    /// What they heard last.
+    /// The limit that was announced last.
     pub limit: RateLimit,
 }
 
@@ -53,16 +58,16 @@
 struct Known {
     version: u64,
     limit: RateLimit,
-    /// The limit that was named last.
+    /// Last announced rate; the starting point of the growth after the limit ended.
     last_named: RequestRate,
-    /// When this gateway heard it.
+    /// When this gateway learned of `limit`.
     since: Timestamp,
-    /// With so many heartbeats it has yet to be told.
+    /// Number of heartbeats that still have to carry this entry.
     to_tell: u8,
 }
 
 impl Known {
-    /// What the endpoint gets; `None` where nothing limits it.
+    /// Rate allowed for the endpoint, from all gateways together; `None` if it is unlimited.
     fn rate(&self, now: Timestamp) -> Option<RequestRate> {
         let RateLimit::None = self.limit else {
             return Some(self.last_named);
@@ -73,7 +78,8 @@
         (age < FREED_AFTER).then(|| RequestRate::per_second(first * 2f64.powi(doublings)))
     }
 
-    /// Whether another account holds instead.
+    /// Whether a gossiped entry replaces this one: it has a higher version, or the same version and
+    /// a stricter limit.
     fn is_superseded_by(&self, version: u64, limit: RateLimit) -> bool {
         let is_stricter = match (limit, self.limit) {
             (RateLimit::At(told), RateLimit::At(known)) => told < known,
@@ -84,18 +90,18 @@
     }
 }
 
-/// The limits that one gateway knows.
+/// Limits that one gateway knows, by incarnation.
 #[derive(Debug, Clone, Default)]
 pub struct KnownLimits {
-    /// By the endpoint's id and its life.
+    /// By endpoint id, then by incarnation.
     endpoints: BTreeMap<Name, BTreeMap<u64, Known>>,
-    /// How many lives there are.
+    /// Number of incarnations in `endpoints`.
     count: usize,
-    /// Whether something has yet to be told.
+    /// Whether an entry still has to be gossiped.
     has_news: bool,
-    /// No life is forgotten earlier.
+    /// When entries are next checked for expiry.
     forget_from: Timestamp,
-    /// Lives without a limit that were not yet free when that was last asked.
+    /// Incarnations whose limit ended and that were still limited at the last [`Self::take_freed`].
     freeing: Vec<Life>,
 }
 
@@ -119,7 +125,8 @@
         }
     }
 
-    /// Whether it changes anything that an answer told a limit, or none; the message that it answers went out at a time.
+    /// Whether a response with this limit, or with none, changes the entry. `sent` is when the
+    /// message was sent to which the endpoint responded.
     pub fn is_changed_by(&self, endpoint: &Endpoint, limit: RateLimit, sent: Timestamp) -> bool {
         let known = self.get(&endpoint.id, endpoint.incarnation);
         let is_newer = known.is_none_or(|known| sent >= known.since);
@@ -133,20 +140,20 @@
         }
     }
 
-    /// An answer told a limit, or none, and that changes something.
+    /// Records the limit of a response, if [`Self::is_changed_by`] returned true for it.
     pub fn stated(&mut self, endpoint: &Endpoint, limit: RateLimit, now: Timestamp) {
         let known = self.get(&endpoint.id, endpoint.incarnation);
         let version = known.map_or(0, |known| known.version).saturating_add(1);
         self.set((endpoint.id.clone(), endpoint.incarnation), version, limit, now);
     }
 
-    /// Whether it changes anything that another gateway tells.
+    /// Whether a gossiped limit replaces the known one.
     pub fn is_superseded_by(&self, told: &LimitTold) -> bool {
         let known = self.get(&told.endpoint, told.incarnation);
         known.is_none_or(|known| known.is_superseded_by(told.version, told.limit))
     }
 
-    /// Another gateway tells of a limit, and that changes something.
+    /// Records a gossiped limit, if [`Self::is_superseded_by`] returned true for it.
     pub fn told(&mut self, told: &LimitTold, now: Timestamp) {
         self.set((told.endpoint.clone(), told.incarnation), told.version, told.limit, now);
     }
@@ -170,7 +177,8 @@
         self.endpoints.entry(life.0).or_default().insert(life.1, known);
     }
 
-    /// Where there are too many, the one goes that is free, or else that was heard of the longest time ago.
+    /// Removes one entry if the maximum is reached: one without a limit in force if there is one,
+    /// and of several the one that changed the longest time ago.
     fn make_room(&mut self, now: Timestamp) {
         if self.count < MOST {
             return;
@@ -182,28 +190,29 @@
         }
     }
 
-    /// Requests a second that an endpoint gets from all gateways together; `None` where nothing limits it.
+    /// Requests per second allowed for an endpoint from all gateways together; `None` if it is
+    /// unlimited.
     pub fn rate(&self, endpoint: &Endpoint, now: Timestamp) -> Option<RequestRate> {
         self.get(&endpoint.id, endpoint.incarnation)?.rate(now)
     }
 
-    /// As [`Self::rate`], by the endpoint's life.
+    /// Same as [`Self::rate`], by incarnation.
     pub fn rate_of(&self, life: &Life, now: Timestamp) -> Option<RequestRate> {
         self.get(&life.0, life.1)?.rate(now)
     }
 
-    /// What is known of a life, as it is told.
+    /// The entry of an endpoint, in the form in which it is gossiped.
     pub fn account(&self, endpoint: &Endpoint) -> Option<LimitTold> {
         let known = self.get(&endpoint.id, endpoint.incarnation)?;
         Some(told(&endpoint.id, endpoint.incarnation, known))
     }
 
-    /// The lives that something is known of.
+    /// All known incarnations.
     pub fn lives(&self) -> impl Iterator<Item = (&Name, u64)> {
         self.iter().map(|(id, life, _)| (id, life))
     }
 
-    /// Lives that are free since this was last asked.
+    /// Returns the incarnations that became unlimited since the last call.
     pub fn take_freed(&mut self, now: Timestamp) -> Vec<Life> {
         if self.freeing.is_empty() {
             return Vec::new();
@@ -215,18 +224,18 @@
         freed
     }
 
-    /// When the first of them is free.
+    /// When the next incarnation becomes unlimited.
     pub fn next_freed(&self) -> Option<Timestamp> {
         let since = self.freeing.iter().filter_map(|life| self.get(&life.0, life.1));
         since.map(|known| known.since + FREED_AFTER).min()
     }
 
-    /// Whether something has yet to be told, or may be forgotten.
+    /// Whether entries have to be gossiped or checked for expiry.
     pub fn is_due(&self, now: Timestamp) -> bool {
         self.has_news || !self.is_empty() && now >= self.forget_from
     }
 
-    /// What goes with the next heartbeat.
+    /// Changed limits to gossip with the next heartbeat.
     pub fn news(&mut self) -> Vec<LimitTold> {
         let mut news = Vec::new();
         self.has_news = false;
@@ -242,14 +251,15 @@
         news
     }
 
-    /// What a gateway is told that is heard for the first time: the limits that hold, the last ones first.
+    /// Limits sent to a gateway that joins: those in force, the most recently changed first.
     pub fn all(&self, now: Timestamp) -> Vec<LimitTold> {
         let mut held: Vec<_> = self.iter().filter(|(.., k)| k.rate(now).is_some()).collect();
         held.sort_unstable_by_key(|(id, life, known)| (Reverse(known.since), *id, *life));
         held.into_iter().take(MOST_TOLD).map(|(id, life, known)| told(id, life, known)).collect()
     }
 
-    /// Forgets lives that are not listed, or free, for long; says which had a limit.
+    /// Removes entries that have not changed for [`KEPT`] and whose incarnation is not listed or
+    /// not limited; returns their incarnations.
     pub fn forget(&mut self, is_listed: impl Fn(&Life) -> bool, now: Timestamp) -> Vec<Life> {
         if now < self.forget_from {
             return Vec::new();
@@ -263,12 +273,12 @@
         over
     }
 
-    /// How many lives are known.
+    /// Number of known incarnations.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether none is.
+    /// Whether no incarnation is known.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
--- a/src/direct/limits/limiter.rs
+++ b/src/direct/limits/limiter.rs
@@ -1,7 +1,9 @@
-//! The gateway that gives permits for an endpoint: at most as many as its limit allows, evenly.
+//! Issues permits for the endpoints of which this gateway is the limiter, evenly spaced and no more
+//! than the endpoint's limit allows.
 //!
-//! Whoever asks says how long it may wait. What fits waits in turn, the most urgent first, then whoever must be sent
-//! first; what does not is refused at once with the time at which it would be its turn.
+//! Each permit request states how long it may wait. Requests that can be granted in time are
+//! queued, the most urgent priority first, then the earliest deadline. All others are refused at
+//! once, with the time at which a permit would be available.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,19 +13,21 @@
 use crate::direct::statement::RequestRate;
 use crate::message::Timestamp;
 
-/// Of a limit, so much is given out: messages arrive with less distance than they were sent with.
+/// Share of a limit that is issued as permits: messages arrive closer together than they were sent.
 const USED: f64 = 0.9;
-/// An endpoint that takes nothing gets one request in ten seconds: only an answer tells whether that still holds.
+/// Minimum number of permits per second. An endpoint whose limit is 0 still gets one request every
+/// ten seconds, since only a response shows whether the limit still applies.
 const LEAST_PER_SECOND: f64 = 0.1;
-/// Asks that wait for one endpoint at most; bounds memory.
+/// Maximum number of queued permit requests for one endpoint; bounds memory.
 const MOST_WAITING: usize = 1_024;
 
-/// Permits of an endpoint: one each so long.
+/// Interval between two permits of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Pace(Duration);
 
 impl Pace {
-    /// The pace of a limit of which this gateway gives out a part, by the gateways that it hears.
+    /// Interval for this gateway's `part` of a limit, which depends on the gateways that it hears
+    /// from.
     pub fn new(limit: RequestRate, part: f64) -> Self {
         let per_second = limit.as_per_second().max(LEAST_PER_SECOND) * USED * part;
         Self(Duration::try_from_secs_f64(per_second.recip()).unwrap_or(Duration::MAX))
@@ -34,60 +38,61 @@
     }
 }
 
-/// One that asks.
+/// Gateway that requested a permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Asker {
-    /// Which gateway.
+    /// Address of the gateway.
     pub gateway: SocketAddr,
-    /// Its number for what it asks.
+    /// Number that the gateway gave its permit request.
     pub number: u64,
 }
 
-/// What is asked.
+/// Request for a permit.
 #[derive(Debug, Clone, Copy)]
 pub struct Ask {
-    /// By whom.
+    /// The gateway that receives the decision.
     pub asker: Asker,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// It may wait until then.
+    /// Latest time at which the permit is of use.
     pub latest: Timestamp,
 }
 
-/// What is answered.
+/// Decision on a permit request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decided {
-    /// One message may go out, now.
+    /// One message may be sent now.
     Given(Asker),
-    /// None; the time is when it would be its turn.
+    /// No permit; the duration is the time until one would be available.
     Refused(Asker, Duration),
 }
 
-/// In the order of turns: priority, until when it may wait, and a count of all that asked.
+/// Queue order: priority, latest time, arrival number.
 type Rank = (u8, Timestamp, u64);
 
 #[derive(Debug)]
 struct Endpoint {
-    /// The last permit was given then, or a little later: see [`Self::give`].
+    /// Nominal time of the last permit, which was issued then or up to one interval later; see
+    /// [`Self::give`].
     last: Timestamp,
     waiting: BTreeMap<Rank, Asker>,
-    /// When the first that waits is due, as it was last reckoned.
+    /// When the first queued request is due, as last calculated.
     due: Option<Timestamp>,
 }
 
 impl Endpoint {
-    /// When it is the turn of what stands behind so many others.
+    /// When a request with `others` requests queued before it gets a permit.
     fn turn(&self, pace: Pace, others: usize, now: Timestamp) -> Timestamp {
         self.last.saturating_add(pace.0).max(now).saturating_add(pace.times(others))
     }
 
-    /// A permit is given. One that nobody asked for in time may be made up for, and no more than one.
+    /// Counts one permit as issued. At most one unused interval of the past can be made up for.
     fn give(&mut self, pace: Pace, now: Timestamp) {
         let earliest = now.saturating_sub(pace.0);
         self.last = self.last.saturating_add(pace.0).max(earliest).min(now);
     }
 
-    /// Gives permits that are due, and refuses what can't wait for its turn any more.
+    /// Issues due permits and refuses queued requests that can no longer be granted in time.
     fn serve(&mut self, pace: Pace, now: Timestamp, decided: &mut Vec<Decided>) {
         while now >= self.turn(pace, 0, now)
             && let Some((_, asker)) = self.waiting.pop_first()
@@ -110,7 +115,7 @@
     }
 }
 
-/// The endpoints for which a gateway gives permits.
+/// Endpoints for which one gateway issues permits.
 #[derive(Debug, Default)]
 pub struct Limiter {
     endpoints: BTreeMap<Life, Endpoint>,
@@ -118,8 +123,8 @@
 }
 
 impl Limiter {
-    /// Somebody asks for a permit. The first one is given after as long as any other: what told of the limit was an
-    /// answer to what the endpoint has just had.
+    /// Handles a permit request. The first permit for an endpoint is issued only after a full
+    /// interval, since the limit was learned from a response to a message that has just been sent.
     pub fn ask(&mut self, life: &Life, pace: Pace, ask: Ask, now: Timestamp) -> Vec<Decided> {
         self.asked += 1;
         let new = || Endpoint { last: now, waiting: BTreeMap::new(), due: None };
@@ -141,8 +146,9 @@
         decided
     }
 
-    /// Gives what is due, and looks at an endpoint whose limit changed; `pace` says how each stands, and `None` that this
-    /// gateway gives no permits for it.
+    /// Issues due permits. Also processes `changed`, an endpoint whose limit changed. `pace`
+    /// returns the interval of an endpoint, or `None` if this gateway issues no permits for it:
+    /// then its queued requests are refused with `retry`.
     pub fn look(
         &mut self,
         changed: Option<&Life>,
@@ -171,14 +177,14 @@
         self.endpoints.values().filter_map(|endpoint| endpoint.due).min()
     }
 
-    /// A gateway is gone: nothing of it waits.
+    /// Removes the queued requests of a gateway that was removed from the members.
     pub fn lost(&mut self, gateway: SocketAddr) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.waiting.retain(|_, asker| asker.gateway != gateway);
         }
     }
 
-    /// Whether it was asked for none.
+    /// Whether no permit request has been received for any endpoint.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
--- a/src/direct/limits/mod.rs
+++ b/src/direct/limits/mod.rs
@@ -1,18 +1,23 @@
-//! Endpoints that name how many requests a second they take from all gateways together.
+//! Rate limits that endpoints announce: requests per second from all gateways together.
 //!
-//! `known` is what a gateway knows of them: told by answers, and by other gateways. Nobody writes shared state, so
-//! nobody counts what all send. Instead one gateway, the endpoint's limiter, found from the list of members, gives a
-//! permit for each message (`limiter`), and without one nothing goes out to the endpoint, whatever it is
-//! ([`crate::direct::gates`]). `permits` is what a gateway has asked for, `turns` when it may ask again where it was refused.
+//! `known` holds the limits, learned from responses and from other gateways. There is no shared
+//! state in which all gateways could count what they send. Instead one gateway, the endpoint's
+//! limiter, chosen from the member list, issues a permit for each message (`limiter`). Without a
+//! permit no message of any kind is sent to the endpoint ([`crate::direct::gates`]). `permits`
+//! holds this gateway's pending permit requests, `turns` when it may request a permit again after a
+//! refusal.
 //!
-//! A limiter gives out only the parts of those gateways that it hears: of 10 that may exist and 6 that it hears, six
-//! tenths of the limit. So two limiters on two sides of a cut stay below it together, and so do gateways of a build that
-//! gives no permits. A gateway that becomes the limiter waits until the one before it has surely stopped.
+//! A limiter issues permits only for the share of the gateways that it hears from: with 10 possible
+//! gateways of which it hears 6, six tenths of the limit. So two limiters on both sides of a
+//! network partition stay within the limit together, and so do gateways of a build without support
+//! for permits. A gateway that becomes the limiter waits until its predecessor has certainly
+//! stopped.
 //!
-//! Ways weighed: equal parts by members (a gateway that has all the work gets a tenth of what ten may send, and of
-//! 100 each has one request in 100 s); parts by need, told in heartbeats (needs that are seconds old, where
-//! a limit of one a second means one gateway at a time); turns by the clock, as for cold endpoints (those of gateways
-//! without work are lost). A permit costs a round trip, for requests to endpoints with a limit only.
+//! Alternatives considered: equal shares by members (a gateway that has all the work gets a tenth
+//! of what ten may send, and each of 100 gateways has one request in 100 s); shares by demand, sent
+//! in heartbeats (the demand is seconds old, and a limit of one per second means one gateway at a
+//! time); time slots, as for cold endpoints (slots of gateways without work are wasted). A permit
+//! costs a round trip, only for requests to endpoints with a limit.
 
 pub mod known;
 pub mod limiter;
--- a/src/direct/limits/permits.rs
+++ b/src/direct/limits/permits.rs
@@ -1,4 +1,4 @@
-//! What a gateway has asked permits for, until it is decided.
+//! Permits that this gateway has requested and that are not decided yet.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,27 +8,28 @@
 use crate::direct::published::model::Endpoint;
 use crate::message::Timestamp;
 
-/// A limiter that has not decided so long after what it was asked could wait is not there.
+/// How long after the longest wait of a permit request its limiter counts as unreachable if it has
+/// not decided.
 const PATIENCE: Duration = Duration::from_millis(150);
 
-/// What goes out with a permit.
+/// Kind of message for which a permit is needed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
-    /// A caller's request.
+    /// Request of a caller.
     Request {
-        /// Whose.
+        /// Number of the caller's request within this gateway.
         caller: u64,
-        /// Sets this permit apart from others that were asked for it.
+        /// Distinguishes this permit from others requested for the same caller's request.
         number: u64,
     },
-    /// A call with pieces.
+    /// Batch call.
     Pieces,
-    /// What an endpoint need not keep any more.
+    /// Call that frees results.
     Free,
 }
 
 impl Purpose {
-    /// The word for lines.
+    /// Word for this purpose in log events.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Request { .. } => "request",
@@ -38,27 +39,27 @@
     }
 }
 
-/// A permit that is wanted.
+/// Permit that is needed to send a message.
 #[derive(Debug, Clone)]
 pub struct Wanted {
-    /// For a message to this endpoint.
+    /// Endpoint to which the message is sent.
     pub endpoint: Arc<Endpoint>,
-    /// Which.
+    /// Kind of message.
     pub purpose: Purpose,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// How long it may wait for its turn.
+    /// How long the permit may take to be issued.
     pub wait: Duration,
 }
 
-/// A permit that was asked for.
+/// Permit request that was sent to a limiter.
 #[derive(Debug, Clone)]
 pub struct Asked {
-    /// What is wanted.
+    /// The permit that is needed.
     pub wanted: Wanted,
-    /// Of whom.
+    /// Address of the gateway that decides.
     pub limiter: SocketAddr,
-    /// When.
+    /// When the request was sent.
     pub at: Timestamp,
 }
 
@@ -68,7 +69,7 @@
     }
 }
 
-/// What was asked for and is not decided.
+/// Pending permit requests, by number.
 #[derive(Debug, Default)]
 pub struct Permits {
     last: u64,
@@ -77,7 +78,7 @@
 }
 
 impl Permits {
-    /// A permit is asked for; returns its number.
+    /// Records a permit request; returns its number.
     pub fn ask(&mut self, asked: Asked) -> u64 {
         self.last += 1;
         self.given_up.insert((asked.given_up(), self.last));
@@ -85,14 +86,15 @@
         self.last
     }
 
-    /// A gateway decided; says what, if it was asked for that.
+    /// Removes and returns the request that a limiter decided; `None` if none with this number is
+    /// pending there.
     pub fn decided(&mut self, limiter: SocketAddr, number: u64) -> Option<Asked> {
         let asked = self.asked.get(&number).filter(|asked| asked.limiter == limiter)?;
         self.given_up.remove(&(asked.given_up(), number));
         self.asked.remove(&number)
     }
 
-    /// What was not decided in time.
+    /// Removes and returns the requests that were not decided in time.
     pub fn take_overdue(&mut self, now: Timestamp) -> Vec<Asked> {
         let mut overdue = Vec::new();
         while let Some((_, number)) = self.given_up.first().copied().filter(|(at, _)| now >= *at) {
@@ -102,7 +104,7 @@
         overdue
     }
 
-    /// What a gateway that is gone was asked for.
+    /// Removes and returns the requests that were sent to a gateway.
     pub fn take_of(&mut self, limiter: SocketAddr) -> Vec<Asked> {
         let of_it = self.asked.extract_if(.., |_, asked| asked.limiter == limiter);
         let of_it: Vec<_> = of_it.collect();
@@ -117,12 +119,12 @@
         self.given_up.first().map(|(at, _)| *at)
     }
 
-    /// How many are not decided.
+    /// Number of pending requests.
     pub fn len(&self) -> usize {
         self.asked.len()
     }
 
-    /// Whether none is.
+    /// Whether no request is pending.
     pub fn is_empty(&self) -> bool {
         self.asked.is_empty()
     }
--- a/src/direct/limits/turns.rs
+++ b/src/direct/limits/turns.rs
@@ -1,25 +1,27 @@
-//! When a gateway that was refused a permit may ask again, so that it need not ask for each request.
+//! When a gateway whose permit request was refused may request a permit again, so that it need not
+//! do so for each request.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::direct::published::model::{Endpoint, Name};
 use crate::message::Timestamp;
 
-/// An endpoint's turns, by the priority of what was refused.
+/// Retry times of an endpoint, by the priority of the refused permit request.
 #[derive(Debug, Clone, Default)]
 struct Refused {
     incarnation: u64,
     turns: BTreeMap<u8, Timestamp>,
 }
 
-/// What was refused lately.
+/// Retry times of endpoints that recently refused a permit.
 #[derive(Debug, Clone, Default)]
 pub struct Turns {
     endpoints: HashMap<Name, Refused>,
 }
 
 impl Turns {
-    /// A permit was refused to what has a priority: its turn would come at a time.
+    /// Records that a permit was refused to a request of this priority, and when one would be
+    /// available.
     pub fn refused(&mut self, endpoint: &Endpoint, priority: u8, turn: Timestamp) {
         let refused = self.endpoints.entry(endpoint.id.clone()).or_default();
         if refused.incarnation != endpoint.incarnation {
@@ -28,7 +30,8 @@
         refused.turns.insert(priority, turn);
     }
 
-    /// When it is the turn of what has a priority, as far as is known: what is as urgent, or more, stands before it.
+    /// Earliest time for a permit of this priority, as far as is known: the latest retry time among
+    /// requests of the same or a more urgent priority, which are queued before it.
     pub fn turn(&self, endpoint: &Endpoint, priority: u8, now: Timestamp) -> Option<Timestamp> {
         let refused = self.endpoints.get(&endpoint.id)?;
         let is_same = refused.incarnation == endpoint.incarnation;
@@ -36,12 +39,12 @@
         before.filter(|turn| is_same && *turn > now).max()
     }
 
-    /// Forgets endpoints that are not listed any more.
+    /// Removes endpoints that are no longer listed.
     pub fn retain(&mut self, listed: impl Fn(&str) -> bool) {
         self.endpoints.retain(|id, _| listed(id));
     }
 
-    /// Forgets what was known of an endpoint.
+    /// Removes the retry times of an endpoint.
     pub fn forget(&mut self, endpoint: &str) {
         self.endpoints.remove(endpoint);
     }
--- a/src/direct/poison/broken.rs
+++ b/src/direct/poison/broken.rs
@@ -1,9 +1,10 @@
-//! Calls that were not answered, until it is known whether their endpoint crashed.
+//! Tracks unanswered calls until it is known whether their endpoint crashed.
 //!
-//! A broken connection proves nothing: connections are reset, and answers break off at endpoints that live on. So
-//! the endpoint is probed: a closed port proves that its process is gone. What a probe can't tell, since
-//! the endpoint was back by then or answers nobody, the list of endpoints may: an entry that goes within the next
-//! seconds, or tells of another life.
+//! A failed connection proves nothing: connections are reset, and responses are aborted by
+//! endpoints that keep running. So the endpoint is probed: a closed port proves that its process
+//! has ended. If a probe is inconclusive, since the endpoint has restarted by then or does not
+//! respond at all, the list of endpoints may provide the proof: an entry that is removed within the
+//! next seconds, or that shows another incarnation.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
@@ -15,16 +16,17 @@
 use crate::direct::published::table::Table;
 use crate::message::Timestamp;
 
-/// An entry of an endpoint that crashed goes within three of its heartbeats, 3.6 s, and is heard of from peers at
-/// the latest in 2 s more.
+/// How long to wait for proof. The entry of a crashed endpoint is removed within three of its
+/// heartbeats, 3.6 s, and peers report the crash at most 2 s later.
 const WAITS_FOR_PROOF: Duration = Duration::from_secs(6);
-/// What was given up here counts as having been there for so long: its endpoint drops it when it sees the
-/// connection close, and one that has begun the poison crashes within a few hundred milliseconds.
+/// How long a call that this gateway cancelled still counts as running at its endpoint. The
+/// endpoint drops it when it notices that the connection closed, and a poison request that has
+/// started crashes its endpoint within a few hundred milliseconds.
 const GIVEN_UP_COUNTS: Duration = Duration::from_secs(1);
-/// Contents that are remembered of one endpoint's calls; bounds memory. An endpoint runs 32 to 64 at once, from all
-/// gateways together.
+/// Maximum number of runs that are remembered for one endpoint; bounds memory. An endpoint runs 32
+/// to 64 at once, from all gateways together.
 const MOST_RUNS: usize = 128;
-/// Endpoints that are waited for at most; bounds memory.
+/// Maximum number of endpoints with unanswered calls; bounds memory.
 const MOST_ENDPOINTS: usize = 1_024;
 
 /// Whether an endpoint is being probed.
@@ -32,18 +34,18 @@
 enum Probe {
     No,
     Out,
-    /// Another call broke meanwhile: what the probe finds may be older.
+    /// Another call failed since the probe was sent, so its result may be outdated.
     OutAndAgain,
 }
 
-/// What an endpoint's list entry says of a life that a call broke at.
+/// How the list entry of an endpoint compares with the incarnation that was called.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Listed {
-    /// It is there as it was.
+    /// Listed, same incarnation.
     Same,
-    /// It said that it leaves, or is gone without a sign of a crash: its calls may break off as planned.
+    /// Leaving, or removed without a sign of a crash: its calls may be aborted as planned.
     Leaving,
-    /// Another life is there.
+    /// Listed with another incarnation.
     AnotherLife,
 }
 
@@ -55,47 +57,48 @@
     }
 }
 
-/// An endpoint that crashed, with what ran there as far as this gateway knows.
+/// Endpoint that crashed, with what this gateway had running there.
 #[derive(Debug)]
 pub struct Crashed {
-    /// The life that crashed.
+    /// The endpoint, in the incarnation that crashed.
     pub endpoint: Arc<Endpoint>,
-    /// What ran there.
+    /// What was running there.
     pub runs: Vec<Run>,
-    /// What proved it.
+    /// What proved the crash: `port closed`, `another life`, `entry gone`, or `told` (by a
+    /// gateway).
     pub proof: &'static str,
 }
 
-/// What follows from a call that was not answered.
+/// What to do about an unanswered call.
 #[derive(Debug)]
 pub enum Verdict {
-    /// Its endpoint crashed.
+    /// The endpoint crashed.
     Crashed(Crashed),
-    /// Its endpoint is to be probed.
+    /// Probe the endpoint.
     Probe(Arc<Endpoint>),
-    /// It is waited for proof, or there is nothing to prove.
+    /// Nothing: proof is awaited, or there is nothing to prove.
     Wait,
 }
 
 #[derive(Debug)]
 struct Calls {
     endpoint: Arc<Endpoint>,
-    /// What ran there, and until when that counts.
+    /// What was running there, each with the time until which it counts.
     runs: Vec<(Run, Timestamp)>,
     probe: Probe,
-    /// It is known that it crashed: calls that are heard of later count at once.
+    /// What proved the crash, once it is known; calls reported later then count at once.
     proof: Option<&'static str>,
     until: Timestamp,
 }
 
-/// The unanswered calls of one gateway, by the lives of endpoints.
+/// Unanswered calls of one gateway, by the incarnation that was called.
 #[derive(Debug, Default)]
 pub struct Broken {
     calls: BTreeMap<(Name, u64), Calls>,
 }
 
 impl Broken {
-    /// A call was not answered while all this was at the endpoint.
+    /// Records that a call was not answered while `runs` were running at the endpoint.
     pub fn unanswered(
         &mut self,
         endpoint: &Arc<Endpoint>,
@@ -142,7 +145,8 @@
         }
     }
 
-    /// An endpoint was probed. One whose port is open lived on then; it may have crashed since.
+    /// Handles the result of a probe. An open port shows that the endpoint was up at that time; it
+    /// may have crashed since.
     pub fn probed(
         &mut self,
         endpoint: &Name,
@@ -165,7 +169,8 @@
         Verdict::Wait
     }
 
-    /// Other gateways tell under what endpoints crashed; names those of them at which calls were not answered here.
+    /// Applies crashes reported by other gateways; returns those of endpoints with unanswered calls
+    /// from here.
     pub fn told(&mut self, accounts: &[Account], now: Timestamp) -> Vec<Crashed> {
         if self.calls.is_empty() {
             return Vec::new();
@@ -184,7 +189,7 @@
         (!runs.is_empty()).then_some(Crashed { endpoint, runs, proof })
     }
 
-    /// Entries of endpoints changed: names those that crashed.
+    /// Checks endpoints whose entries changed; returns those that have crashed.
     pub fn changed(
         &mut self,
         ids: &[Name],
@@ -206,7 +211,7 @@
                 Listed::AnotherLife => "another life",
                 Listed::Same => continue,
                 Listed::Leaving => {
-                    // Whoever says that it leaves lives.
+                    // An endpoint that announces its departure has not crashed.
                     self.calls.remove(&key);
                     continue;
                 }
@@ -216,7 +221,7 @@
         crashed
     }
 
-    /// Forgets calls that have waited for proof for long enough.
+    /// Removes calls for which no proof was found in time.
     pub fn forget(&mut self, now: Timestamp) {
         self.calls.retain(|_, calls| now < calls.until);
     }
--- a/src/direct/poison/fingerprint.rs
+++ b/src/direct/poison/fingerprint.rs
@@ -1,22 +1,22 @@
-//! What makes two requests the same, whoever takes them and whatever their ids are.
+//! Identifies requests with the same content, independent of gateway and request id.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{Xxh3Default, xxh3_64_with_seed};
 
-/// A digest of who asks, the method, the path with its query, and the body. The host is left out: one
-/// route may be reached by several.
+/// Digest of the organisation, the method, the path with its query, and the body of a request. The
+/// host is left out, since one route may be reached under several.
 ///
-/// 64 bits: among 1,000 requests that are remembered and a billion others, two are taken for the same once in
-/// 20 million cases, and callers can only choose contents that collide with their own.
+/// With 64 bits, among 1,000 remembered requests and a billion others two collide once in 20
+/// million cases, and callers can only produce collisions with their own requests.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Fingerprint(u64);
 
 impl Fingerprint {
-    /// Of what a request holds, before it is known who asks.
+    /// Fingerprint of a request's content, before its organisation is known.
     pub fn of_content(method: &str, target: &str, body: &[u8]) -> Self {
         let mut digest = Xxh3Default::new();
         for part in [method.as_bytes(), target.as_bytes(), body] {
@@ -26,12 +26,13 @@
         Self(digest.digest())
     }
 
-    /// What one of its stages has endpoints do: a stage may run well before another one crashes each endpoint.
+    /// Fingerprint of one stage of the request: a stage may run without fault before another one
+    /// crashes its endpoints.
     pub fn of_stage(self, stage: usize) -> Self {
         Self(xxh3_64_with_seed(&self.0.to_le_bytes(), stage as u64 + 1))
     }
 
-    /// The same content, asked by an organisation, or by nobody who shows a key.
+    /// Fingerprint of the same content for an organisation, or for callers without an API key.
     pub fn asked_by(self, organisation: Option<&str>) -> Self {
         let Some(organisation) = organisation else {
             return self;
--- a/src/direct/poison/mod.rs
+++ b/src/direct/poison/mod.rs
@@ -1,17 +1,20 @@
-//! Poison requests: those that crash the endpoints which run them, and come again.
+//! Poison requests: requests that crash the endpoints which run them, and that are sent repeatedly.
 //!
-//! The pattern: a request crashes each endpoint soon after that begins to run it, and all that runs there breaks off
-//! with it. Its caller sends it again as a new one, with an id of its own and through any gateway, so every try is
-//! the first one to whoever takes it. One such request crashed 14 endpoints in 10 s.
+//! The failure this prevents: a request crashes each endpoint soon after the endpoint starts to run
+//! it, and aborts everything else that runs there. Its caller sends it again as a new request, with
+//! a new id and through any gateway, so that each gateway sees a first attempt. One such request
+//! crashed 14 endpoints within 10 s.
 //!
-//! What tells it is what it holds: its [`fingerprint`]. A call that was not answered waits in [`broken`] for proof that
-//! its endpoint crashed; then everything that ran there is suspected, and [`suspects`] remembers it until it is
-//! quarantined, or has run well elsewhere. What ran well lately is never suspected ([`successes`]). Gateways tell
-//! each other what they know.
+//! Such a request is recognised by its content, the [`fingerprint`]. An unanswered call is kept in
+//! [`broken`] until it is proven that its endpoint crashed. Then everything that was running there
+//! becomes suspect, and [`suspects`] keeps it until it is quarantined or has run without a crash
+//! elsewhere. What has recently run without a crash does not become suspect ([`successes`]).
+//! Gateways share this knowledge by gossip.
 //!
-//! Ways weighed: each gateway for itself (three endpoints for each gateway: 1,700 at 580); one gateway that keeps the
-//! count of a fingerprint (it may be lost, and two views are two of them); counting broken calls instead of crashed
-//! endpoints (a reset connection would quarantine whatever it carried).
+//! Alternatives considered: each gateway on its own (three endpoints per gateway: 1,700 with 580
+//! gateways); one gateway that counts the crashes of a fingerprint (it may fail, and with two views
+//! of the members there are two); counting failed calls instead of crashed endpoints (a reset
+//! connection would quarantine whatever it carried).
 
 pub mod broken;
 pub mod fingerprint;
@@ -23,42 +26,43 @@
 use crate::direct::poison::fingerprint::Fingerprint;
 use crate::direct::published::model::Endpoint;
 
-/// Something that was run.
+/// One run of a request or stage at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Run {
     /// What ran.
     pub fingerprint: Fingerprint,
-    /// One more than the rounds of crashes that were known when it was sent; see [`suspects::Crash::round`].
+    /// One more than the number of crash rounds known when it was sent; see
+    /// [`suspects::Crash::round`].
     pub round: u8,
-    /// Whether it shared its call with nothing else.
+    /// Whether it was isolated: alone in its call.
     pub alone: bool,
 }
 
-/// How a call ended that was not answered.
+/// Why a call was not answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unanswered {
-    /// Its connection broke.
+    /// The connection failed.
     Broken,
-    /// Nothing came in time.
+    /// No response arrived in time.
     Silent,
-    /// It was given up here, for whatever reason.
+    /// This gateway cancelled the call, for any reason.
     GivenUp,
 }
 
-/// What requests and owners tell of what they run.
+/// Result of a run, as reported by requests and owners.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Report {
-    /// A call ended without an answer while all this was at the endpoint.
+    /// A call ended without a response while `runs` were running at the endpoint.
     Unanswered {
-        /// Where.
+        /// Endpoint that was called.
         endpoint: Arc<Endpoint>,
-        /// What was in the call.
+        /// What the call contained.
         runs: Vec<Run>,
-        /// How.
+        /// Why it was not answered.
         how: Unanswered,
     },
-    /// It ran to an end.
+    /// A run completed.
     Succeeded(Fingerprint),
-    /// It came again and was refused as poison.
+    /// A request was received again and refused as poison.
     Refused(Fingerprint),
 }
--- a/src/direct/poison/successes.rs
+++ b/src/direct/poison/successes.rs
@@ -1,7 +1,8 @@
-//! What has run well lately, so that it is no poison whatever crashes around it.
+//! What has recently run without a crash, and so is not poison, whatever else crashes around it.
 //!
-//! The pattern: many callers ask the same, and endpoints crash by the rack. Some of the same content is at work at
-//! each of them, and comes again into the next crash, while it runs well everywhere else.
+//! The failure this prevents: many callers send the same request, and all endpoints of a rack crash
+//! at once. The request runs at each of them and is sent again into the next crash, while it runs
+//! without fault everywhere else.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -9,16 +10,16 @@
 use crate::direct::poison::fingerprint::Fingerprint;
 use crate::message::Timestamp;
 
-/// A run that ended well speaks for its content for so long: a later version of an endpoint's program may crash under
-/// what the one before ran.
+/// How long a completed run is valid as evidence: a later version of the endpoint's program may
+/// crash on what the previous version ran.
 const SPEAKS_FOR: Duration = Duration::from_secs(60);
-/// A content that runs well again is entered anew only after so long.
+/// How long after a recorded run another one of the same fingerprint is recorded.
 const ENTERED_ANEW_AFTER: Duration = Duration::from_secs(20);
-/// Contents that are remembered; bounds memory to 150 KB. A gateway that answers 20 requests a second, as one of
-/// 580 does at the peak, remembers all of a minute.
+/// Maximum number of runs that are recorded; bounds memory to 150 KB. A gateway that handles 20
+/// requests per second, as one of 580 does at peak load, remembers the complete last minute.
 const MOST: usize = 4_096;
 
-/// Contents that ran well lately at one gateway.
+/// Fingerprints that recently ran without a crash at one gateway.
 #[derive(Debug, Default)]
 pub struct Successes {
     ran_at: HashMap<Fingerprint, Timestamp, foldhash::fast::RandomState>,
@@ -26,7 +27,7 @@
 }
 
 impl Successes {
-    /// A content ran well.
+    /// Records a completed run.
     pub fn ran(&mut self, fingerprint: Fingerprint, now: Timestamp) {
         let before = self.ran_at.get(&fingerprint);
         if before.is_some_and(|at| now < *at + ENTERED_ANEW_AFTER) {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Whether a content ran well lately.
+    /// Whether a fingerprint recently ran without a crash.
     pub fn has(&self, fingerprint: Fingerprint, now: Timestamp) -> bool {
         self.ran_at.get(&fingerprint).is_some_and(|at| now < *at + SPEAKS_FOR)
     }
--- a/src/direct/poison/suspects.rs
+++ b/src/direct/poison/suspects.rs
@@ -1,7 +1,8 @@
-//! What ran at endpoints that crashed: remembered by all gateways until it is cleared or quarantined.
+//! Requests that were running at endpoints that crashed: kept by all gateways until they are
+//! cleared or quarantined.
 //!
-//! An account is merged from any source in any order: crashes are a set, and whatever was cleared more often is
-//! newer.
+//! Entries can be merged from any source and in any order: the crashes of a fingerprint form a set,
+//! and the entry that was cleared more often is newer.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,67 +16,70 @@
 use crate::direct::published::model::Name;
 use crate::message::Timestamp;
 
-/// Endpoints that must crash under the same content before it is refused. One crashes for many reasons and takes all
-/// that runs there with it: in 2,000 random schedules of fleets that lose one of 24 endpoints each second, one
-/// innocent request in 15,000 was there at three crashes.
+/// Number of endpoints that must crash under a fingerprint before it is quarantined. An endpoint
+/// may crash for many reasons and aborts everything that runs there: in 2,000 random schedules of
+/// fleets that lose one of 24 endpoints each second, one innocent request in 15,000 was running at
+/// three crashes.
 const POISON_CRASHES: usize = 3;
-/// In at least so many rounds: the same content may run at many endpoints that crash at once, as when a rack goes.
-/// A round is over when the crash is known, so what was sent with that knowledge is another try.
+/// Minimum number of rounds in which these crashes must occur: the same content may run at many
+/// endpoints that crash at once, as when a rack fails. A round ends when its crash is known, so
+/// what is sent with that knowledge belongs to the next round.
 const POISON_ROUNDS: u8 = 2;
-/// What so many endpoints crashed under does not share a call with others any more: whoever is innocent proves it
-/// there, and only what crashes an endpoint there can be the poison.
+/// Number of crashes after which a fingerprint is isolated: it no longer shares a call with others.
+/// An innocent one then runs to completion, and only what crashes an endpoint alone can be poison.
 const ALONE_CRASHES: usize = 2;
-/// After so many crashes a content is refused even if another one ran at each of them.
+/// Number of crashes after which a fingerprint is quarantined even if another one ran at each of
+/// them.
 const ANYHOW_CRASHES: usize = 5;
-/// Endings that are remembered of one content; more say nothing more.
+/// Maximum number of crashes that are kept per fingerprint; more would not change any decision.
 const MOST_CRASHES: usize = 6;
-/// For how long something is remembered after it last came, which refused callers are told. Callers that heed it are
-/// run again then, so that a mended endpoint serves them.
+/// How long an entry is kept after its request was last received; refused callers get this as their
+/// retry time. Callers that respect it are then run again, so that a repaired endpoint serves them.
 pub const KEPT: Duration = Duration::from_secs(600);
-/// That it came again is told to others only if it makes so much of a difference: otherwise each refusal would
-/// be news to all gateways.
+/// Minimum difference in time for which a repeated request is gossiped: otherwise each refusal
+/// would be an update for all gateways.
 const REFRESHED_AFTER: Duration = Duration::from_secs(150);
-/// Contents that are remembered at most; bounds memory to some 100 KB. Those with most crashes, and of these the
-/// latest, stay.
+/// Maximum number of fingerprints that are kept; bounds memory to about 100 KB. Those with the most
+/// crashes are kept, and of these the latest.
 const MOST: usize = 512;
-/// Heartbeats that carry a piece of news. Each goes to eight others, all of which tell it on: 580 gateways
-/// have it after three rounds.
+/// Number of heartbeats that carry an update. Each goes to eight peers, all of which pass it on:
+/// 580 gateways have it after three rounds.
 const TOLD: u8 = 4;
-/// Pieces of news that one heartbeat carries, those with most crashes first: 600 bytes.
+/// Maximum number of updates in one heartbeat, those with the most crashes first: 600 bytes.
 const NEWS_IN_HEARTBEAT: usize = 16;
-/// What a gateway that asks is told at most: 4 KB.
+/// Maximum number of entries in the reply to a gateway that compares digests: 4 KB.
 const MOST_TOLD: usize = 64;
 
-/// The crash of an endpoint that ran some content.
+/// Crash of an endpoint while a fingerprint was running there.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// The endpoint's id.
+    /// Id of the endpoint.
     pub endpoint: Name,
-    /// The life that crashed.
+    /// Incarnation that crashed.
     pub incarnation: u64,
-    /// One more than the rounds of crashes that were known when the content was sent there.
+    /// One more than the number of crash rounds known when the request was sent there.
     pub round: u8,
-    /// Whether the content shared its call with nothing else.
+    /// Whether the request was isolated: alone in its call.
     pub alone: bool,
 }
 
 impl Crash {
-    /// Which life of which endpoint.
+    /// Incarnation that crashed, with the endpoint's id.
     fn life(&self) -> (&Name, u64) {
         (&self.endpoint, self.incarnation)
     }
 }
 
-/// What one gateway tells another of a content.
+/// Entry for one fingerprint, as gossiped between gateways.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
-    /// The content.
+    /// Fingerprint of the request or stage.
     pub fingerprint: Fingerprint,
-    /// How often it was cleared; crashes before the last time are void.
+    /// How often it was cleared; crashes before the last time no longer count.
     pub cleared: u32,
-    /// Since it last came, in seconds.
+    /// Seconds since the request was last received.
     pub age_s: u32,
-    /// The crashes under it since.
+    /// Crashes since it was last cleared.
     pub crashes: Vec<Crash>,
 }
 
@@ -84,7 +88,7 @@
     cleared: u32,
     crashes: Vec<Crash>,
     came: Timestamp,
-    /// Heartbeats that are still to carry it.
+    /// Number of heartbeats that still have to carry this entry.
     to_tell: u8,
 }
 
@@ -93,7 +97,7 @@
         self.crashes.iter().map(|crash| crash.round).max().unwrap_or(0)
     }
 
-    /// Whether enough endpoints crashed under it, whoever else ran there.
+    /// Whether enough endpoints crashed under it, without regard to what else ran there.
     fn may_be_poison(&self) -> bool {
         let was_alone = self.crashes.iter().any(|crash| crash.alone);
         self.crashes.len() >= POISON_CRASHES && self.rounds() >= POISON_ROUNDS && was_alone
@@ -103,12 +107,12 @@
         self.crashes.iter().any(|own| own.life() == crash.life())
     }
 
-    /// Whether another content ran wherever endpoints crashed under this one.
+    /// Whether the other fingerprint was running at every crash of this one.
     fn is_explained_by(&self, other: &Self) -> bool {
         self.crashes.iter().all(|crash| other.has(crash))
     }
 
-    /// Takes crashes in; says whether it learnt anything.
+    /// Merges crashes; returns whether anything changed.
     fn add(&mut self, crashes: &[Crash]) -> bool {
         let before = self.crashes.clone();
         for crash in crashes {
@@ -120,43 +124,43 @@
                 None => self.crashes.push(crash.clone()),
             }
         }
-        // The same ones are left wherever accounts meet.
+        // Sorted, so that all gateways keep the same crashes whatever the merge order.
         let order = |l: &Crash| (Reverse((l.alone, l.round)), l.endpoint.clone(), l.incarnation);
         self.crashes.sort_by_key(order);
         self.crashes.truncate(MOST_CRASHES);
         self.crashes != before
     }
 
-    /// What counts when there are too many: crashes, then how lately it came.
+    /// Sort key when the maximum is exceeded: number of crashes, then the latest time of receipt.
     fn weight(&self) -> (usize, Timestamp) {
         (self.crashes.len(), self.came)
     }
 }
 
-/// A content that is refused since something was learnt.
+/// Fingerprint that has just been quarantined.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Quarantined {
-    /// The content.
+    /// Fingerprint of the request or stage.
     pub fingerprint: Fingerprint,
-    /// The endpoints that crashed under it, as far as they are remembered.
+    /// Endpoints that crashed under it, up to [`MOST_CRASHES`].
     pub endpoints: Vec<Name>,
 }
 
-/// Contents under which endpoints crashed.
+/// Fingerprints under which endpoints crashed.
 #[derive(Debug, Clone, Default)]
 pub struct Suspects {
     of: BTreeMap<Fingerprint, Suspect>,
-    /// Those that are refused.
+    /// Fingerprints that are refused.
     quarantined: BTreeSet<Fingerprint>,
 }
 
 impl Suspects {
-    /// Whether a content is refused.
+    /// Whether a fingerprint is quarantined.
     pub fn is_poison(&self, fingerprint: Fingerprint) -> bool {
         self.quarantined.contains(&fingerprint)
     }
 
-    /// What of a request is refused: itself, or one of its `stages`.
+    /// The quarantined fingerprint of a request or of one of its `stages`; `None` if it may run.
     pub fn poison_in(&self, request: Fingerprint, stages: usize) -> Option<Fingerprint> {
         if self.quarantined.is_empty() {
             return None;
@@ -165,37 +169,38 @@
         parts.chain([request]).find(|part| self.is_poison(*part))
     }
 
-    /// Whether endpoints crashed under a content.
+    /// Whether endpoints crashed under a fingerprint since it was last cleared.
     pub fn knows(&self, fingerprint: Fingerprint) -> bool {
         self.of.get(&fingerprint).is_some_and(|s| !s.crashes.is_empty())
     }
 
-    /// Rounds in which endpoints crashed under a content.
+    /// Number of rounds in which endpoints crashed under a fingerprint.
     pub fn rounds(&self, fingerprint: Fingerprint) -> u8 {
         self.of.get(&fingerprint).map_or(0, Suspect::rounds)
     }
 
-    /// Whether a content is run apart from others.
+    /// Whether a fingerprint has to be isolated in a call of its own.
     pub fn goes_alone(&self, fingerprint: Fingerprint) -> bool {
         self.of.get(&fingerprint).is_some_and(|s| s.crashes.len() >= ALONE_CRASHES)
     }
 
-    /// How many contents are refused.
+    /// Number of quarantined fingerprints.
     pub fn poison(&self) -> usize {
         self.quarantined.len()
     }
 
-    /// Contents that are remembered.
+    /// Number of known fingerprints.
     pub fn len(&self) -> usize {
         self.of.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no fingerprint is known.
     pub fn is_empty(&self) -> bool {
         self.of.is_empty()
     }
 
-    /// An endpoint crashed while all this ran there; names what is refused since.
+    /// Records that an endpoint crashed while `runs` were running there; returns what is newly
+    /// quarantined.
     pub fn crashed(
         &mut self,
         endpoint: &Name,
@@ -213,7 +218,7 @@
         self.decide()
     }
 
-    /// Whether another gateway tells something that is not known: most of what comes was heard before.
+    /// Whether a gossiped entry contains anything new; most have been received before.
     pub fn is_news(&self, account: &Account, now: Timestamp) -> bool {
         let came = now.saturating_sub(Duration::from_secs(u64::from(account.age_s)));
         let Some(known) = self.of.get(&account.fingerprint) else {
@@ -228,7 +233,7 @@
         is_later || adds
     }
 
-    /// Takes in what another gateway tells; names what is refused since.
+    /// Merges entries from another gateway; returns what is newly quarantined.
     pub fn told(&mut self, accounts: &[Account], now: Timestamp) -> Vec<Quarantined> {
         for account in accounts {
             let age = Duration::from_secs(u64::from(account.age_s));
@@ -272,8 +277,9 @@
         }
     }
 
-    /// Decides what is refused, and names what is since. Where another content ran at each endpoint that crashed
-    /// under this one, either may be the poison: it takes one more crash to tell, which only the poison has.
+    /// Recalculates the quarantine; returns what is new in it. If another fingerprint ran at every
+    /// crash of this one, either may be the poison: only the poison causes further crashes, so one
+    /// more crash decides.
     fn decide(&mut self) -> Vec<Quarantined> {
         let suspected = self.of.iter().filter(|(_, suspect)| suspect.may_be_poison());
         let mut at_life: BTreeMap<_, Vec<&Fingerprint>> = BTreeMap::new();
@@ -303,8 +309,9 @@
         Quarantined { fingerprint, endpoints: endpoints.collect() }
     }
 
-    /// A content ran to its end: no endpoint crashed because of it. Names what is refused since, as nothing else
-    /// explains the crashes any more.
+    /// Clears a fingerprint after a completed run: no endpoint crashed because of it. Returns what
+    /// is newly quarantined, since the cleared fingerprint no longer explains the crashes of
+    /// others.
     pub fn clear(&mut self, fingerprint: Fingerprint, now: Timestamp) -> Vec<Quarantined> {
         let Some(suspect) = self.of.get_mut(&fingerprint).filter(|s| !s.crashes.is_empty()) else {
             return Vec::new();
@@ -316,12 +323,13 @@
         self.decide()
     }
 
-    /// Whether it is news that a content came again.
+    /// Whether a repeated request has to be recorded and gossiped.
     pub fn is_refreshed_by(&self, fingerprint: Fingerprint, now: Timestamp) -> bool {
         self.of.get(&fingerprint).is_some_and(|s| now > s.came + REFRESHED_AFTER)
     }
 
-    /// A content that is refused came again: it is remembered from now on.
+    /// Records that a quarantined request was received again, which extends the time for which it
+    /// is kept.
     pub fn came(&mut self, fingerprint: Fingerprint, now: Timestamp) {
         if let Some(suspect) = self.of.get_mut(&fingerprint) {
             suspect.came = now;
@@ -329,12 +337,12 @@
         }
     }
 
-    /// Whether something has not come for so long that it is forgotten.
+    /// Whether an entry has expired.
     pub fn is_outdated(&self, now: Timestamp) -> bool {
         self.of.values().any(|suspect| now >= suspect.came + KEPT)
     }
 
-    /// Forgets what has not come for long.
+    /// Removes expired entries.
     pub fn forget(&mut self, now: Timestamp) {
         self.of.retain(|_, suspect| now < suspect.came + KEPT);
         self.decide();
@@ -351,12 +359,12 @@
         }
     }
 
-    /// Whether heartbeats are still to carry something.
+    /// Whether updates still have to be gossiped.
     pub fn has_news(&self) -> bool {
         self.of.values().any(|suspect| suspect.to_tell > 0)
     }
 
-    /// What the next heartbeat carries.
+    /// Updates to gossip with the next heartbeat.
     pub fn news(&mut self, now: Timestamp) -> Vec<Account> {
         let news = self.of.iter().filter(|(_, suspect)| suspect.to_tell > 0);
         let mut news: Vec<_> = news.map(|(f, s)| ((s.to_tell, s.weight()), *f)).collect();
@@ -372,13 +380,14 @@
         accounts
     }
 
-    /// What gateways compare: contents under which several endpoints crashed. Single crashes are told once
-    /// only, as news: where a rack goes they are many, and nearly all of them mean nothing.
+    /// Entries that gateways compare: fingerprints under which several endpoints crashed. Single
+    /// crashes are gossiped only once, as updates: when a rack fails there are many, and almost all
+    /// of them are irrelevant.
     fn compared(&self) -> impl Iterator<Item = (&Fingerprint, &Suspect)> {
         self.of.iter().filter(|(_, suspect)| suspect.crashes.len() >= ALONE_CRASHES)
     }
 
-    /// A digest of what is compared; equal where gateways know the same.
+    /// Digest of the compared entries; equal if two gateways know the same.
     pub fn digest(&self) -> u64 {
         let accounts = self.compared().map(|(f, s)| (f, s.cleared, &s.crashes));
         let accounts: Vec<_> = accounts.collect();
@@ -388,7 +397,7 @@
         xxh3_64(&postcard::to_allocvec(&accounts).unwrap_or_default())
     }
 
-    /// What a gateway is told that knows something else.
+    /// Entries sent to a gateway whose digest differs.
     pub fn accounts(&self, now: Timestamp) -> Vec<Account> {
         let mut known: Vec<_> = self.compared().collect();
         known.sort_unstable_by_key(|(_, suspect)| Reverse(suspect.weight()));
--- a/src/direct/repeats.rs
+++ b/src/direct/repeats.rs
@@ -1,7 +1,9 @@
-//! How many repeats a process may send to a pool: its part of one budget that all processes share.
+//! Limits how many repeats (retries) this process sends to a pool: its share of a budget for all
+//! processes.
 //!
-//! The budget holds for the sum over all processes in any window, so each takes a part of the fixed
-//! slack by the number of processes that may exist, and a part of the ratio by what it sent itself.
+//! The budget applies to the sum over all processes in any window. So each process uses a share of
+//! the fixed slack, divided by the number of possible processes, and a share of the ratio in
+//! proportion to its own first sends.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -9,19 +11,19 @@
 use crate::direct::published::model::Name;
 use crate::message::Timestamp;
 
-/// Of what the budget allows, so much is used; the rest is for windows that lie otherwise.
+/// Share of the budget that is used; the rest covers windows that start at other times.
 const USED: f64 = 0.6;
-/// Windows are counted in so many steps.
+/// Number of steps into which a window is divided for counting.
 const STEPS: u32 = 10;
 
-/// The budget as published.
+/// Repeat budget, as published.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// Repeats for each first send.
+    /// Allowed repeats per first send.
     pub ratio: f64,
-    /// Repeats besides, over all processes.
+    /// Allowed repeats in addition, for all processes together.
     pub slack: f64,
-    /// The length of the window.
+    /// Length of the window.
     pub window: Duration,
 }
 
@@ -38,7 +40,7 @@
     repeats: u32,
 }
 
-/// What one process has sent to each pool lately.
+/// Recent sends of one process, by pool.
 #[derive(Debug, Default)]
 pub struct Repeats {
     bounds: Bounds,
@@ -46,17 +48,17 @@
 }
 
 impl Repeats {
-    /// With this budget.
+    /// Creates the counters for this budget.
     pub fn new(bounds: Bounds) -> Self {
         Self { bounds, pools: HashMap::new() }
     }
 
-    /// First sends to a pool were made.
+    /// Records first sends to a pool.
     pub fn first(&mut self, pool: &Name, count: u32, now: Timestamp) {
         self.step(pool, now).firsts += count;
     }
 
-    /// Takes a repeat out of the budget, where it holds one; `processes` share it.
+    /// Uses one repeat of the budget, shared by `processes`; returns false if none is left.
     pub fn take(&mut self, pool: &Name, processes: usize, now: Timestamp) -> bool {
         let bounds = self.bounds;
         self.step(pool, now);
--- a/src/direct/statement.rs
+++ b/src/direct/statement.rs
@@ -1,89 +1,92 @@
-//! What an endpoint says of itself in the head of an answer, whatever was asked of it.
+//! Endpoint status headers: what an endpoint states about itself in a response to any kind of call.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// How long an endpoint wants nothing from this gateway.
+/// How long an endpoint asks this gateway to send nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Backoff {
-    /// For so long.
+    /// Backoff time.
     For(Duration),
-    /// For a time that could not be read.
+    /// The time could not be parsed.
     Unclear,
 }
 
-/// Requests in 1,000 s; more is never named in earnest, and bounds what is reckoned with.
+/// Maximum rate in requests per 1,000 s; no endpoint needs more, and calculations stay within
+/// bounds.
 const MOST: u64 = 1_000_000_000;
 
-/// How many requests an endpoint takes from all gateways together.
+/// Requests that an endpoint accepts from all gateways together, in thousandths of a request per
+/// second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestRate(u64);
 
 impl RequestRate {
-    /// One request a second.
+    /// One request per second.
     pub const ONE: Self = Self(1_000);
 
-    /// So many requests a second, rounded down to thousandths; a negative number is none.
+    /// Rate in requests per second, rounded down to thousandths; negative values become zero.
     pub fn per_second(requests: f64) -> Self {
         Self((requests * 1_000.0).clamp(0.0, MOST as f64) as u64)
     }
 
-    /// Requests a second.
+    /// Rate in requests per second.
     pub fn as_per_second(self) -> f64 {
         self.0 as f64 / 1_000.0
     }
 }
 
-/// What an answer says of the rate that its endpoint takes.
+/// Rate limit that a response states for its endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RateLimit {
-    /// Nothing: it takes what comes.
+    /// Unlimited.
     None,
-    /// So much.
+    /// Limited to this rate.
     At(RequestRate),
 }
 
-/// What one answer said.
+/// Status headers of one response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Statement {
-    /// The endpoint leaves: it takes no new work.
+    /// The endpoint is leaving and accepts no new work.
     pub leaving: bool,
-    /// It turned something away and wants nothing for a while.
+    /// The endpoint refused the call and asks for a pause.
     pub backoff: Option<Backoff>,
-    /// How much longer it is cold, zero where it is warm.
+    /// How much longer the endpoint is cold; zero if it is warm.
     pub cold: Option<Duration>,
-    /// How many requests a second it takes; `None` where what was read could not have told.
+    /// Rate limit of the endpoint; `None` if the part of the response that was read could not have
+    /// stated one.
     pub limit: Option<RateLimit>,
 }
 
 impl Statement {
-    /// Whether the answer said nothing of its endpoint.
+    /// Whether the response states nothing about its endpoint.
     pub fn is_empty(&self) -> bool {
         self.names_no_limit() && Self { limit: None, ..*self } == Self::default()
     }
 
-    /// Whether it named no limit.
+    /// Whether the response states no rate limit.
     pub const fn names_no_limit(&self) -> bool {
         matches!(self.limit, None | Some(RateLimit::None))
     }
 }
 
-/// What an endpoint was asked when it said something of itself.
+/// Kind of call to which an endpoint responded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Asked {
-    /// To run a request.
+    /// Runs a caller's request.
     Request,
-    /// To make pieces.
+    /// Runs the pieces of a batch.
     Pieces,
-    /// How it stands.
+    /// Asks for the endpoint's load report.
     Report,
-    /// To free results.
+    /// Frees results.
     Free,
 }
 
 impl Asked {
-    /// The word for lines.
+    /// Word for this kind in log events.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Request => "request",
