--- a/src/direct/note/kinds.rs
+++ b/src/direct/note/kinds.rs
@@ -1,4 +1,4 @@
-//! How lines are made, and their words for metrics.
+//! Constructors of log events, and the event names that metrics use as labels.
 
 use std::collections::BTreeSet;
 
@@ -7,18 +7,18 @@
 use crate::direct::published::store_read::StoreRead;
 
 impl Note {
-    /// The first line of a life of this build.
+    /// First event of a process: its incarnation and build.
     pub fn started(incarnation: u64) -> Self {
         let Build { version, commit, form } = Build::own();
         Self::Started { incarnation, version, commit, form }
     }
 
-    /// The line of fields that are not known.
+    /// Event for fields of a document that this build ignores.
     pub fn passed_over(document: &'static str, fields: BTreeSet<String>) -> Self {
         Self::PassedOver { document, fields: fields.into_iter().collect() }
     }
 
-    /// The line of a read of the publisher's store.
+    /// Event for a read of the publisher's store.
     pub fn store_read(read: &StoreRead) -> Self {
         Self::StoreRead {
             subject: read.subject,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The word for metrics, as in the line.
+    /// Name of the event in metrics; the same as in the log.
     pub const fn kind(&self) -> &'static str {
         match self {
             Self::Arrived { .. } => "arrived",
--- a/src/direct/note/mod.rs
+++ b/src/direct/note/mod.rs
@@ -1,4 +1,4 @@
-//! The lines that on-call reads: one for each decision and each change of what a gateway believes.
+//! Log events for operators: one for each decision and each change in a gateway's state.
 
 mod kinds;
 mod store;
@@ -11,485 +11,490 @@
 pub use crate::direct::note::store::{PublishedVersion, StoreEra, StoreReturned};
 use crate::direct::published::model::Name;
 
-/// One line.
+/// Log event, written with its name in snake case as field `event`.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Note {
-    /// A request was taken in.
+    /// A request was admitted; logged before it is checked for poison.
     Arrived {
-        /// The caller's id.
+        /// Request id given by the caller.
         request: Name,
-        /// Its route.
+        /// Route of the request.
         route: Name,
-        /// Who asks.
+        /// Organisation of the caller; `None` without an API key.
         organisation: Option<Name>,
-        /// What it holds and who asks: the same for a request that comes again under another id.
+        /// Digest of content and organisation; the same if the request is repeated under another
+        /// id.
         fingerprint: String,
-        /// The configuration's version.
+        /// Version of the configuration.
         version: u64,
-        /// Milliseconds that remain.
+        /// Milliseconds until the deadline.
         left_ms: u64,
     },
-    /// It waited for the first configuration, or for peers and endpoints to be heard.
+    /// A request waited for the first configuration, or for peers and endpoints to be known.
     Waited {
-        /// The caller's id.
+        /// Request id given by the caller.
         request: Name,
-        /// For so many milliseconds.
+        /// Milliseconds for which the request waited.
         waited_ms: u64,
-        /// Whether there is a configuration now.
+        /// Whether the gateway has a complete configuration now; if not, the wait timed out.
         known: bool,
     },
-    /// Its stages were handed to an owner.
+    /// The stages of a request were submitted to an owner.
     StagesSubmitted {
-        /// The caller's id.
+        /// Request id given by the caller.
         request: Name,
-        /// The owner.
+        /// Address of the owner.
         owner: SocketAddr,
-        /// The cell that makes them.
+        /// Cell that runs the stages.
         cell: Name,
-        /// Whether another had begun them.
+        /// Whether an owner may have started the stages before.
         resubmitted: bool,
     },
-    /// The owner admitted or refused a request's stages.
+    /// The owner admitted or refused the stages of a request.
     StagesDecided {
-        /// The caller's id.
+        /// Request id given by the caller.
         request: Name,
-        /// Whether they are begun.
+        /// Whether the stages were admitted.
         admitted: bool,
-        /// The part of the decision that was narrowest.
+        /// Pool with the least spare capacity for this request; empty if unknown.
         pool: Name,
-        /// Predicted milliseconds to the answer's start.
+        /// Predicted milliseconds until the response starts.
         predicted_ms: u64,
-        /// Milliseconds to the objective.
+        /// Milliseconds until the objective.
         objective_ms: u64,
-        /// Share of the narrowest pool's room that is taken when this request needs it, with it.
+        /// Share of this pool's result memory in use when the request needs it, the request
+        /// included.
         room_share: f64,
     },
-    /// An endpoint that works in batches told how it stands.
+    /// An endpoint of a batch pool reported its load to the owner.
     Reported {
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: Name,
-        /// Bytes of its room that are free.
+        /// Bytes of its result memory that are free.
         free_bytes: u64,
-        /// Bytes that others than this owner are taken to use.
+        /// Estimated bytes that other owners use.
         of_others: u64,
-        /// Calls that wait there.
+        /// Number of calls that wait at the endpoint.
         waiting: u32,
     },
-    /// A call with pieces was sent.
+    /// A batch call was sent.
     BatchSent {
-        /// The call.
+        /// Number of the call.
         call: u64,
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: Name,
-        /// Its pieces: request, stage, piece.
+        /// Pieces in the call: request id, stage, piece.
         pieces: Vec<(Name, usize, usize)>,
-        /// Pieces of the pool that wait besides.
+        /// Number of pieces of the pool that remain queued.
         waiting: usize,
     },
-    /// A call with pieces ended.
+    /// A batch call ended.
     BatchEnded {
-        /// The call.
+        /// Number of the call.
         call: u64,
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: Name,
-        /// How.
+        /// Pieces by result, such as `made=3 late=1`, or why the call failed.
         outcome: String,
-        /// Milliseconds that it took.
+        /// Milliseconds from sending the call to its end.
         took_ms: u64,
     },
-    /// A request was handed to an endpoint.
+    /// A request was sent to an endpoint.
     Sent {
-        /// The caller's id.
+        /// Request id given by the caller.
         request: Name,
-        /// The attempt's number.
+        /// Number of the attempt.
         attempt: u64,
-        /// The selector of the pool.
+        /// Selector of the pool.
         selector: String,
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: Name,
-        /// Why this one.
+        /// `prefix`, `second_home`, `least_load`, `last_resort`, `turn` or `set_apart` (isolated).
         because: String,
-        /// Candidates of the pool.
+        /// Number of endpoints that were candidates.
         candidates: usize,
-        /// Milliseconds that remain.
+        /// Milliseconds until the deadline.
         left_ms: u64,
     },
-    /// An endpoint crashed while this ran there.
+    /// An endpoint is proven to have crashed while calls from this gateway were running there.
     EndpointCrashed {
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: Name,
-        /// Its life.
+        /// Incarnation that crashed.
         incarnation: u64,
-        /// What proved it.
+        /// `port closed`, `another life`, `entry gone`, or `told` (reported by a gateway).
         proof: &'static str,
-        /// What ran there: fingerprints, each with the rounds of crashes that it has had.
+        /// Fingerprints that were running there, each with the number of its crash round.
         suspects: Vec<(String, u8)>,
     },
-    /// What endpoints crashed under is refused from now on.
+    /// A fingerprint is refused from now on, since endpoints crashed under it.
     Quarantined {
-        /// What it holds and who asks, or one of its stages.
+        /// Fingerprint of the request or of one of its stages.
         fingerprint: String,
         /// Endpoints that crashed under it.
         endpoints: Vec<Name>,
-        /// `own`, or the gateway that told of the last of them.
+        /// `own`, or the address of the gateway whose report was decisive.
         source: String,
     },
-    /// The process stood still, frozen, suspended or without a processor, and goes on.
+    /// The process was suspended or got no processor time, and has resumed.
     StoodStill {
-        /// For so many milliseconds.
+        /// Milliseconds of the suspension.
         for_ms: u64,
     },
-    /// What an endpoint had crashed under ran well.
+    /// A fingerprint under which endpoints had crashed completed a run: it is no longer suspect.
     Cleared {
-        /// What it holds and who asks, or one of its stages.
+        /// Fingerprint of the request or of one of its stages.
         fingerprint: String,
     },
-    /// An attempt ended without an answer that is passed on.
+    /// An attempt ended without a response that can be passed to the caller.
     AttemptFailed {
-        /// The caller's id.
+        /// Request id given by the caller.
         request: Name,
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: Name,
-        /// How.
+        /// Why the attempt failed, such as `server error`, `silent` or `not run: 503`.
         failure: String,
-        /// What follows.
+        /// `again`, `refused`, `given up`; for a stream `resumed` or `broken off`.
         next: &'static str,
     },
-    /// An endpoint found the results gone that a request needs.
+    /// An endpoint could not fetch the results that a request needs.
     ResultsGone {
-        /// The caller's id.
+        /// Request id given by the caller.
         request: Name,
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: Name,
-        /// Milliseconds since its call was ordered.
+        /// Milliseconds since the call was queued for sending.
         ordered_ms: u64,
-        /// Milliseconds since its call went out, where it did.
+        /// Milliseconds since the call was sent; `None` if it was not.
         sent_ms: Option<u64>,
-        /// Whether this gateway had let them be freed; otherwise their maker lost them.
+        /// Whether this gateway had released the results; otherwise their producer lost them.
         freed: bool,
     },
-    /// A request is over.
+    /// A request ended, with or without a response.
     Ended {
-        /// The caller's id.
+        /// Request id given by the caller.
         request: Name,
-        /// How.
+        /// How it ended.
         outcome: String,
-        /// The endpoint of the last attempt.
+        /// Endpoint of the last attempt; `None` without an attempt.
         endpoint: Option<Name>,
-        /// Milliseconds since it came.
+        /// Milliseconds since the request arrived.
         took_ms: u64,
-        /// When to come back, where it was refused.
+        /// If refused: milliseconds after which the caller may retry.
         retry_after_ms: Option<u64>,
     },
-    /// The stages of a request were given up.
+    /// The owner cancelled or refused the stages of a request.
     StagesGivenUp {
-        /// The caller's id.
+        /// Request id given by the caller.
         request: Name,
-        /// Why.
+        /// Reason given by the owner, such as `NoRoom` or `DeadlinePassed`.
         reason: String,
     },
-    /// A configuration is in force.
+    /// A newer configuration is in force.
     Configured {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
-        /// The version before.
+        /// Previous version.
         before: u64,
-        /// Where it came from.
+        /// `publisher`, or the address of the gateway that sent it.
         source: String,
-        /// Milliseconds since a peer first told of a newer version; 0 where none had.
+        /// Milliseconds since a peer first announced a newer version; 0 if none did.
         known_ms: u64,
-        /// The peer that told.
+        /// The peer that announced it.
         known_from: Option<SocketAddr>,
     },
-    /// A long answer of the publisher's store, or one that failed.
+    /// A response of the publisher's store was at least 16 KiB, failed, or needed a second connection.
     StoreRead {
-        /// What was read.
+        /// What was read: `configuration` or `endpoints`.
         subject: &'static str,
-        /// Whether it was a watch.
+        /// Whether the read was a watch.
         watch: bool,
-        /// `whole`, or how it failed.
+        /// `whole`; `unreachable`, `silent`, `torn`, `outdated`, `refused`, `unreadable`,
+        /// `unusable`.
         outcome: &'static str,
-        /// Bytes that came.
+        /// Bytes received.
         bytes: usize,
-        /// Bytes that were stated.
+        /// Bytes announced as the length of the response.
         expected: Option<u64>,
-        /// Whether a new connection answered, while the one before it said nothing.
+        /// Whether a second connection responded while the first one was silent.
         again: bool,
-        /// Milliseconds from the call to the answer's head, or to the failure.
+        /// Milliseconds from the call to the response's head, or to the failure.
         waited_ms: u64,
-        /// Milliseconds from the answer's head to its end.
+        /// Milliseconds from the head to the end of the response.
         took_ms: u64,
-        /// Milliseconds of decoding.
+        /// Milliseconds spent decoding.
         decode_ms: u64,
     },
-    /// The publisher's store gave the whole list at a lower revision than was seen before.
+    /// The publisher's store returned a complete list at a lower revision than seen before.
     StoreWentBack {
-        /// The revision of the list.
+        /// Revision of the list.
         revision: u64,
-        /// The highest revision that was seen of endpoints.
+        /// Highest revision of endpoints seen before.
         seen: u64,
     },
-    /// A newer era of the store began: it came back from an older copy.
+    /// See [`StoreEra`].
     StoreEra(StoreEra),
-    /// The first whole list of a new era arrived.
+    /// See [`StoreReturned`].
     StoreReturned(StoreReturned),
-    /// The configuration in the store is older than the one in force, or not any more.
+    /// See [`PublishedVersion`].
     PublishedVersion(PublishedVersion),
-    /// Documents are asked of a peer, came from it, or are waited for no longer.
+    /// A pull of documents from a peer was sent, answered, failed or timed out.
     Pull {
-        /// The peer.
+        /// Address of the peer.
         peer: SocketAddr,
-        /// What became of it.
+        /// `asked`, `answered`, `refused`, `broken off` or `silent`.
         outcome: &'static str,
-        /// The configuration's version that the process has.
+        /// Version of this gateway's configuration.
         version: u64,
-        /// The era of the store that its list of endpoints is of.
+        /// Era of this gateway's list of endpoints.
         era: u64,
-        /// The revision of endpoints that the process has.
+        /// Revision of this gateway's list of endpoints.
         endpoints: u64,
     },
-    /// A peer asked for documents.
+    /// A peer pulled documents from this gateway.
     Pulled {
-        /// The peer.
+        /// Address of the peer.
         peer: SocketAddr,
-        /// Whether the configuration is among them.
+        /// Whether the configuration was sent.
         deployment: bool,
-        /// How many entries of endpoints are.
+        /// Number of endpoint entries sent.
         endpoints: usize,
     },
-    /// The core is late: an event waited long for it, or took it long.
+    /// An event waited long for the core, or took long to be handled; at most one per second.
     CoreLate {
-        /// Milliseconds that the event waited.
+        /// Milliseconds for which the event waited.
         waited_ms: u64,
-        /// Milliseconds that handling it took.
+        /// Milliseconds spent handling it.
         took_ms: u64,
     },
-    /// An endpoint's entry changed.
+    /// The state of an endpoint's list entry changed.
     Endpoint {
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: Name,
-        /// What it is since.
+        /// `listed`, `leaving`, `lapsed` (expired while the store was unavailable) or `gone`.
         state: &'static str,
-        /// Where that came from.
+        /// `publisher`, a gateway's address, or the kind of call in which a departure was
+        /// announced.
         source: String,
     },
-    /// An endpoint said something of itself in an answer.
+    /// A response contained status headers with something new about its endpoint, or a backoff.
     Stated {
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: Name,
-        /// The life that was called.
+        /// Incarnation that was called.
         incarnation: u64,
-        /// What it was asked.
+        /// Kind of call: `request`, `pieces`, `report` or `free`.
         asked: &'static str,
-        /// Whether it leaves.
+        /// Whether the endpoint is leaving.
         leaving: bool,
-        /// Milliseconds that it wants nothing from this gateway, where it turned something away and said so.
+        /// Backoff time in milliseconds, if the endpoint asked for a pause.
         backoff_ms: Option<u64>,
-        /// Whether that time could not be read.
+        /// Whether the backoff time could not be parsed.
         unclear: bool,
-        /// Milliseconds since its answer was read.
+        /// Milliseconds since the response was read.
         age_ms: u64,
-        /// Milliseconds until this gateway sends it something again, where that is later than it was.
+        /// Milliseconds until this gateway's pause for the endpoint ends, if that was extended.
         paused_ms: Option<u64>,
-        /// Milliseconds that it is cold, where it told.
+        /// Milliseconds for which the endpoint remains cold, if stated.
         cold_ms: Option<u64>,
-        /// Requests a second that it takes from all gateways together, where it named a limit.
+        /// Requests per second accepted from all gateways together, if a limit is stated.
         limit: Option<f64>,
     },
-    /// What is known of an endpoint's limit changed.
+    /// The known rate limit of an endpoint changed.
     Limit {
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: Name,
-        /// Its life.
+        /// Incarnation that announced the limit.
         incarnation: u64,
-        /// Requests a second that it takes from all gateways together; `None` if it names no limit any more.
+        /// Requests per second from all gateways together; `None` if there is no limit any more.
         limit: Option<f64>,
-        /// Counts the changes of that life.
+        /// Number of changes of this incarnation's limit.
         version: u64,
-        /// Who told: an answer, or another gateway.
+        /// `answer` (a response of the endpoint), or the address of a gateway.
         source: String,
     },
-    /// A permit for a message to an endpoint with a limit was given or refused.
+    /// A permit to send a message to an endpoint with a rate limit was granted or refused.
     Permit {
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: Name,
-        /// For what.
+        /// Kind of message: `request`, `pieces` or `free`.
         asked: &'static str,
-        /// The caller's id, for a request.
+        /// Request id given by the caller; `None` for `pieces` and `free`.
         request: Option<Name>,
-        /// The gateway that was asked.
+        /// Address of the gateway that decides.
         limiter: SocketAddr,
-        /// Whether it was given.
+        /// Whether the permit was granted.
         given: bool,
-        /// Why.
+        /// `turn` (granted); `busy`, `silent`, `lost` or `no limiter` (refused).
         cause: &'static str,
-        /// Milliseconds from the question to the decision.
+        /// Milliseconds from the permit request to the decision.
         waited_ms: u64,
-        /// Milliseconds until it would be its turn, where it was refused.
+        /// If refused: milliseconds until a permit would be available.
         turn_ms: Option<u64>,
     },
-    /// An endpoint told that it is cold: it gets a part of what it bears.
+    /// An endpoint's entry reports that it is cold: it gets a part of its normal load.
     Cold {
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: Name,
-        /// Milliseconds until it is warm.
+        /// Milliseconds for which the endpoint remains cold.
         cold_ms: u64,
     },
-    /// An endpoint started again under its id: nothing of its life before holds.
+    /// An endpoint restarted under its id: state of its previous incarnation is discarded.
     Restarted {
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: Name,
-        /// Its life, by the time of its start.
+        /// New incarnation: the time of its start.
         incarnation: u64,
     },
-    /// A data centre is to get no new work, or gets some again.
+    /// An evacuation order took effect, or ended: its data centre gets no new work meanwhile.
     Evacuation {
-        /// The data centre.
+        /// Data centre to be evacuated.
         data_centre: Name,
-        /// Whether the order stands.
+        /// Whether the order is in force.
         stands: bool,
-        /// Endpoints there.
+        /// Number of endpoints in the data centre.
         endpoints: usize,
-        /// Where that came from.
+        /// `publisher`, a gateway's address, or `not confirmed` (the order expired).
         source: String,
     },
-    /// A published document can't be used, and names nothing; told once for each key and cause.
+    /// A published document can't be used and is skipped; logged once for each key and cause.
     Unreadable {
-        /// The document's key.
+        /// Key of the document.
         key: String,
-        /// Why.
+        /// Why the document can't be used.
         cause: String,
     },
-    /// Fields of what the platform hands over are not known to this build; told once.
+    /// Fields of a document from the platform are unknown to this build and ignored; logged once.
     PassedOver {
-        /// Of what.
+        /// `configuration`, `entry`, `answer of the store` or `answer of an endpoint`.
         document: &'static str,
-        /// Their names.
+        /// Names of the fields.
         fields: Vec<String>,
     },
-    /// What is thought of an endpoint changed by own observation.
+    /// An endpoint is avoided, since this gateway's own calls to it failed or were slow.
     Suspicion {
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: Name,
-        /// Whether it is avoided.
+        /// Whether the endpoint is avoided.
         avoided: bool,
-        /// By what.
+        /// Cause, such as `unreachable`, `server errors`, `broken streams`, `overdue` or `slow`.
         cause: &'static str,
     },
-    /// A peer is there, or is taken for dead.
+    /// A peer became known, or is considered down.
     Peer {
-        /// Who.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Its life.
+        /// Incarnation of the peer.
         incarnation: u64,
-        /// Whether it is there.
+        /// Whether the peer is up.
         alive: bool,
-        /// By what.
+        /// `heard` if it is up; otherwise `silent`, `unreachable` or `restarted`.
         cause: &'static str,
     },
-    /// The publisher's store answers, or stopped to.
+    /// The publisher's store became reachable or unreachable.
     Publisher {
-        /// Whether it answers.
+        /// Whether the store responds.
         answers: bool,
     },
-    /// The process calls itself ready, or no longer.
+    /// The gateway became ready or unready.
     Ready {
-        /// Whether.
+        /// Whether the gateway is ready.
         ready: bool,
     },
     /// The process started.
     Started {
-        /// Its life.
+        /// Incarnation of the process.
         incarnation: u64,
-        /// The program's version.
+        /// Version of the program.
         version: String,
-        /// The commit that it was built from, where that is known.
+        /// Commit of the build, if known.
         commit: Option<String>,
-        /// The compact form of messages that it writes.
+        /// Version of the compact message format that it writes.
         form: u32,
     },
-    /// A peer that runs another build is there, or is not any more.
+    /// A peer of another build became known, or the last one seen with it is gone.
     PeerBuild {
-        /// Who.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Its life.
+        /// Incarnation of the peer.
         incarnation: u64,
-        /// Its version, empty where it does not tell.
+        /// Version of its program; empty if the peer does not send it.
         version: String,
-        /// Its commit, where that is known.
+        /// Commit of its build, if known.
         commit: Option<String>,
-        /// The compact form of messages that it reads.
+        /// Version of the compact message format that it reads.
         form: u32,
-        /// `first` or `last`.
+        /// `first` when it became known; `last` when the peer failed or runs this build now.
         heard: &'static str,
     },
-    /// A peer says what this build does not read; told once for each peer and form.
+    /// A peer sent a message that this build can't read; logged once for each peer and form.
     PeerUnread {
-        /// Who.
+        /// Address of the peer.
         address: SocketAddr,
-        /// The form.
+        /// Version of the compact message format.
         form: u32,
-        /// Why.
+        /// `unknown form` or `unknown message`.
         cause: &'static str,
     },
-    /// The process was told to stop.
+    /// The process received the signal to stop.
     Stopping {
-        /// Milliseconds from the signal to the kill.
+        /// Grace period in milliseconds: from the signal until the process is killed.
         grace_ms: u64,
-        /// Whether another gateway was known to serve.
+        /// Whether another gateway is known to serve requests.
         others_serve: bool,
     },
-    /// A stopping process took a request, or did not because it stops.
+    /// A stopping process accepted a request on arrival, or refused one because it is stopping.
     StopDecided {
-        /// The caller's id.
+        /// Request id given by the caller.
         request: Name,
-        /// Where it stood: at the door, in its stages, or on its way to an endpoint.
+        /// `door` (on arrival), `stages` (before the end of its stages) or `dispatch` (before
+        /// sending).
         at: &'static str,
-        /// Whether it goes on.
+        /// Whether the request continues.
         taken: bool,
         /// Milliseconds since the signal.
         stopping_ms: u64,
-        /// Milliseconds until the process ends by itself.
+        /// Milliseconds until the process exits.
         left_ms: u64,
-        /// Milliseconds until its answer would be whole, by its deadline or by experience; none where
-        /// it was not looked at.
+        /// Milliseconds until the response would be complete, by its deadline or by typical
+        /// durations; `None` if not estimated.
         expected_ms: Option<u64>,
-        /// Whether another gateway was known to serve.
+        /// Whether another gateway is known to serve requests.
         others_serve: bool,
     },
-    /// An endpoint that was asked how it stands did not answer in time, or not readably: its owner plans as if
-    /// nobody else used it.
+    /// An endpoint's load report did not arrive in time or was invalid: the owner plans as if no
+    /// other owner used the endpoint.
     NoReport {
-        /// Which.
+        /// Id of the endpoint.
         endpoint: Name,
     },
-    /// Events wait for the core for long, or not any more.
+    /// The process became overloaded (events wait long before they are handled), or recovered.
     ShortOfTime {
-        /// Whether they do.
+        /// Whether the process is overloaded.
         is_short: bool,
-        /// How long, in milliseconds.
+        /// Average event lag in milliseconds.
         late_ms: u64,
     },
-    /// The process ends.
+    /// The process is about to exit.
     Stopped {
         /// Milliseconds since the signal.
         stopping_ms: u64,
-        /// Requests without the head of an answer.
+        /// Number of requests that had not received the head of a response.
         unanswered: usize,
-        /// Streams that were open.
+        /// Number of open streams.
         streams: usize,
-        /// Jobs that were not over.
+        /// Number of unfinished jobs.
         jobs: usize,
     },
-    /// The settings were read again.
+    /// The settings file was read again.
     Reloaded {
-        /// What became of it.
+        /// `taken`, or why the new settings were refused.
         outcome: String,
     },
 }
 
-/// Whole milliseconds, as far as there are numbers for them.
+/// Whole milliseconds, at most `u64::MAX`.
 pub fn ms(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/src/direct/note/store.rs
+++ b/src/direct/note/store.rs
@@ -1,50 +1,53 @@
-//! Lines about the publisher's store: its eras, and what a return from an older copy changes.
+//! Log events about the publisher's store: its eras and restores from an older copy.
 
 use serde::Serialize;
 
 use crate::direct::published::model::Name;
 
-/// A newer era of the store.
+/// A newer era of the store began: the store was restored from an older copy.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct StoreEra {
-    /// The era before.
+    /// Previous era.
     pub before: u64,
-    /// The last revision of endpoints that was seen in it.
+    /// Last revision of endpoints seen in the previous era.
     pub revision_before: u64,
-    /// The new one.
+    /// The new era.
     pub era: u64,
-    /// `publisher`, or the address of the gateway that named it.
+    /// `publisher`, or the address of the gateway that reported the era.
     pub source: String,
 }
 
-/// What the first whole list of a new era lost and brought back; of endpoints, some names each.
+/// The first complete list of a new era arrived. Of the endpoints that it affects, only some are
+/// named.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct StoreReturned {
-    /// The era before.
+    /// Previous era.
     pub before: u64,
-    /// The last revision of endpoints that was seen in it.
+    /// Last revision of endpoints seen in the previous era.
     pub revision_before: u64,
-    /// The new one.
+    /// The new era.
     pub era: u64,
-    /// The revision of the list.
+    /// Revision of the list.
     pub revision: u64,
-    /// `publisher`, or the address of the gateway that sent it.
+    /// `publisher`, or the address of the gateway that sent the list.
     pub source: String,
-    /// Endpoints that it lists as ready and that go on leaving.
+    /// Endpoints that the list shows as ready, but that announced their departure; they stay
+    /// leaving.
     pub leaving: Vec<Name>,
-    /// Endpoints that it lists and whose entries were gone: no work for them yet.
+    /// Listed endpoints whose entries had been removed; they get no work until confirmed.
     pub doubted: Vec<Name>,
-    /// Endpoints that it lacks: used until they were due to write again.
+    /// Endpoints missing from the restored copy; used until their next entry is due.
     pub lacked: Vec<Name>,
 }
 
-/// The configuration in the store against the one in force.
+/// Logged when the configuration in the store becomes older than the one in force, and at each read
+/// until it no longer is.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct PublishedVersion {
-    /// The version in the store.
+    /// Version in the store.
     pub published: u64,
-    /// The one in force.
+    /// Version in force.
     pub in_force: u64,
-    /// Whether the one in the store is older.
+    /// Whether the version in the store is older than the one in force.
     pub is_older: bool,
 }
