--- a/src/direct/note/mod.rs
+++ b/src/direct/note/mod.rs
@@ -204,7 +204,7 @@
         /// The peer that announced it.
         known_from: Option<SocketAddr>,
     },
-    /// A response of the publisher's store was at least 16 KiB, failed, or needed a second connection.
+    /// A response of the publisher's store was 16 KiB or more, failed, or used a second connection.
     StoreRead {
         /// What was read: `configuration` or `endpoints`.
         subject: &'static str,
@@ -413,7 +413,7 @@
         /// Version of the compact message format that it writes.
         form: u32,
     },
-    /// A peer of another build became known, or the last one seen with it is gone.
+    /// A peer of another build became known, failed, or changed to this build.
     PeerBuild {
         /// Address of the peer.
         address: SocketAddr,
