--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -7,9 +7,9 @@
 
 use stackmast::actor::Core;
 use stackmast::config::Selector;
-use stackmast::direct::answers::Proof;
+use stackmast::direct::answers::AnswerProof;
 use stackmast::direct::core::{GatewayCore, Setup};
-use stackmast::direct::event::{Action, Event, Incoming};
+use stackmast::direct::event::{Action, Event, IncomingRequest};
 use stackmast::direct::limits::known::LimitTold;
 use stackmast::direct::peers::codec::{FORM, Outgoing};
 use stackmast::direct::peers::members::{Member, MemberState};
@@ -135,7 +135,7 @@
         .map(|document| Revised { position: Position::new(0, 5), made: 0, document })
         .collect();
     core.handle(
-        Event::Published { documents, whole_at: Some(Position::new(0, 5)) },
+        Event::Published { documents, snapshot_at: Some(Position::new(0, 5)) },
         Duration::ZERO,
     );
     hear(&mut core, gateways, limited, now);
@@ -146,7 +146,7 @@
     let mut members: Vec<Member> = (2..=gateways).map(member).collect();
     members.iter_mut().for_each(|m| m.heartbeat = now.as_millis() as u64);
     let message = heartbeat(members, (0..limited).map(limit).collect());
-    core.handle(Event::Peer { from: address(2), message }, now);
+    core.handle(Event::PeerMessage { from: address(2), message }, now);
 }
 
 /// Processor time of a request that is answered at once.
@@ -156,12 +156,12 @@
     let begun = Instant::now();
     for caller in 0..REQUESTS {
         now += Duration::from_micros(100);
-        let incoming = Incoming {
+        let incoming = IncomingRequest {
             id: format!("request-{caller}").into(),
             host: "h".to_owned(),
             path: "/r/x".to_owned(),
             key: None,
-            allowed: Some(Duration::from_secs(5)),
+            timeout: Some(Duration::from_secs(5)),
             generation: None,
             pieces: Vec::new(),
             piece_key: None,
@@ -170,7 +170,12 @@
         };
         for action in core.handle(Event::Submit { caller, incoming }, now) {
             if let Action::Call { caller, attempt, .. } = action {
-                let proof = Proof { status: 200, signed: true, own: true, ..Proof::default() };
+                let proof = AnswerProof {
+                    status: 200,
+                    signed: true,
+                    names_request: true,
+                    ..AnswerProof::default()
+                };
                 core.handle(Event::Answered { caller, attempt, proof, is_open: false }, now);
             }
         }
@@ -189,7 +194,7 @@
         now += Duration::from_micros(100);
         let limit = limit(number as usize % limited);
         let message = PeerMessage::AskPermit { number, limit, priority: 1, wait: Duration::ZERO };
-        core.handle(Event::Peer { from: address(2), message }, now);
+        core.handle(Event::PeerMessage { from: address(2), message }, now);
     }
     begun.elapsed() / ASKS as u32
 }
--- a/src/actor.rs
+++ b/src/actor.rs
@@ -35,10 +35,10 @@
     }
 
     /// The event that is handled next has waited so long.
-    fn waits(&mut self, _waited: Duration, _now: Timestamp) {}
+    fn on_queue_delay(&mut self, _waited: Duration, _now: Timestamp) {}
 
     /// The process stood still for so long, until now.
-    fn stood_still(&mut self, _for_so_long: Duration, _now: Timestamp) {}
+    fn on_suspension(&mut self, _duration: Duration, _now: Timestamp) {}
 
     /// Takes in an event and returns what must be done, in order.
     fn handle(&mut self, event: Self::Event, now: Timestamp) -> Vec<Self::Action>;
@@ -180,7 +180,7 @@
         let now = self.clock.now();
         let late = now.saturating_sub(due);
         if late >= STOOD_STILL {
-            core.stood_still(late, now);
+            core.on_suspension(late, now);
             self.went_on.send_replace(now);
         }
         now
@@ -212,7 +212,7 @@
             Some(Message::Inspect(ask)) => ask(&core, begun),
             Some(Message::Event(event, since)) => {
                 let waited = begun.saturating_sub(since);
-                core.waits(waited, begun);
+                core.on_queue_delay(waited, begun);
                 let actions = core.handle(event, begun);
                 shell.handled(waited, mailbox.clock.now().saturating_sub(begun));
                 for action in actions {
--- a/src/direct/answers.rs
+++ b/src/direct/answers.rs
@@ -4,17 +4,17 @@
 
 /// What an endpoint proved with its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Proof {
+pub struct AnswerProof {
     /// The status of the answer.
     pub status: u16,
     /// The answer is signed by its maker.
     pub signed: bool,
     /// The answer names this very request.
-    pub own: bool,
+    pub names_request: bool,
     /// The endpoint states that it has not run the request.
     pub not_run: bool,
     /// Another endpoint has this address.
-    pub other_endpoint: bool,
+    pub from_other_endpoint: bool,
     /// Requests running and waiting at the endpoint, and its slots.
     pub load: Option<(u32, u32, u32)>,
 }
--- a/src/direct/client.rs
+++ b/src/direct/client.rs
@@ -8,8 +8,8 @@
 use http_body_util::combinators::UnsyncBoxBody;
 use hyper::{HeaderMap, Method, StatusCode};
 
-use crate::direct::answers::{BatchOutcome, BatchReport, CallFailure, Proof};
-use crate::direct::event::{CallOrder, PieceOrder};
+use crate::direct::answers::{AnswerProof, BatchOutcome, BatchReport, CallFailure};
+use crate::direct::event::{CallSpec, PieceSpec};
 use crate::direct::peers::message::Handle;
 use crate::direct::published::model::Endpoint;
 use crate::direct::statement::Statement;
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub struct Answer {
     /// What it proves.
-    pub proof: Proof,
+    pub proof: AnswerProof,
     /// Its head.
     pub head: AnswerHead,
     /// Its body.
@@ -77,7 +77,7 @@
     /// Hands a request to an endpoint; dropping the future ends the connection.
     fn call(
         &self,
-        order: CallOrder,
+        order: CallSpec,
         request: Arc<Forwarded>,
         exchange: impl Exchange,
     ) -> impl Future<Output = Result<Answer, CallFailure>> + Send;
@@ -86,7 +86,7 @@
     fn batch(
         &self,
         endpoint: Arc<Endpoint>,
-        pieces: Vec<PieceOrder>,
+        pieces: Vec<PieceSpec>,
         exchange: impl Exchange,
     ) -> impl Future<Output = BatchOutcome> + Send;
 
--- a/src/direct/core.rs
+++ b/src/direct/core.rs
@@ -14,12 +14,12 @@
 use crate::actor::Core;
 use crate::direct::backoff::Backoffs;
 use crate::direct::departures::Departures;
-use crate::direct::event::{Action, Event, Incoming};
+use crate::direct::event::{Action, Event, IncomingRequest};
 use crate::direct::lateness::Lateness;
 use crate::direct::limits::known::KnownLimits;
 use crate::direct::limits::limiter::Limiter;
 use crate::direct::limits::permits::Permits;
-use crate::direct::note::{Note, ms};
+use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::owner::owners::Owners;
 use crate::direct::peers::build::Builds;
 use crate::direct::peers::members::{HEARTBEAT, Members};
@@ -112,7 +112,7 @@
     /// How long the event that is handled has waited.
     waited: Duration,
     /// When the process last went on after it had stood still.
-    pub(super) went_on_at: Timestamp,
+    pub(super) resumed_at: Timestamp,
     /// Gateways to be asked before this one calls itself ready; none once one has answered that serves.
     pub(super) unmet: BTreeSet<SocketAddr>,
     /// When the first configuration and list came.
@@ -166,7 +166,7 @@
             later_probes: BTreeMap::new(),
             next_ask: Timestamp::ZERO,
             waited: Duration::ZERO,
-            went_on_at: Timestamp::ZERO,
+            resumed_at: Timestamp::ZERO,
             unmet,
             documented_since: None,
             updated_at: Timestamp::ZERO,
@@ -177,7 +177,7 @@
             settling: setup.settling,
             is_ready: false,
             rng: StdRng::seed_from_u64(setup.seed),
-            out: vec![Action::Note(Note::started(setup.incarnation))],
+            out: vec![Action::Log(LogEvent::started(setup.incarnation))],
         }
     }
 
@@ -199,7 +199,7 @@
     fn on_event(&mut self, event: Event, now: Timestamp) {
         match event {
             Event::Submit { caller, incoming } => self.submit(caller, incoming, now),
-            Event::CallerGone { caller } => {
+            Event::CallerDisconnected { caller } => {
                 self.early.caller_gone(caller);
                 self.requests.caller_gone(caller, now);
             }
@@ -211,72 +211,89 @@
             }
             Event::CallSent { caller, attempt } => self.requests.call_sent(caller, attempt, now),
             Event::FirstEvent { caller } => self.requests.first_event(caller, now),
-            Event::StreamEnded { caller, attempt, whole, last_event } => {
-                self.requests.stream_ended(caller, attempt, whole, last_event, &self.table, now);
+            Event::StreamEnded { caller, attempt, is_complete, last_event } => {
+                self.requests.stream_ended(
+                    caller,
+                    attempt,
+                    is_complete,
+                    last_event,
+                    &self.table,
+                    now,
+                );
             }
             Event::BatchEnded { call, outcome } => {
                 self.owners.batch_ended(call, outcome, &self.table, now);
             }
-            Event::Stated { endpoint, asked, statement, sent, at } => {
+            Event::EndpointStatus { endpoint, asked, statement, sent, at } => {
                 self.stated(&endpoint, asked, statement, (sent, at), now);
             }
-            Event::Reported { endpoint, asked, .. } if now >= asked + REPORT_KEPT => {
-                self.note(Note::NoReport { endpoint });
+            Event::ReportReceived { endpoint, requested_at, .. }
+                if now >= requested_at + REPORT_KEPT =>
+            {
+                self.log(LogEvent::NoReport { endpoint });
             }
-            Event::Reported { endpoint, report, .. } => {
+            Event::ReportReceived { endpoint, report, .. } => {
                 self.owners.reported(&endpoint, report, &self.table, now);
             }
-            Event::NoReport { endpoint } => self.note(Note::NoReport { endpoint }),
+            Event::ReportFailed { endpoint } => self.log(LogEvent::NoReport { endpoint }),
             Event::Probed { endpoint, incarnation, is_closed } => {
                 self.probed(&endpoint, incarnation, is_closed, now);
             }
-            Event::Peer { from, message } => self.on_peer(from, message, now),
+            Event::PeerMessage { from, message } => self.on_peer(from, message, now),
             Event::PeerGreeted { address, incarnation, build } => {
                 self.greeted(address, incarnation, &build);
             }
-            Event::PeerUnread { from, greeted, unread } => self.unread(from, greeted, unread),
-            Event::PeerBroke { address, incarnation } => {
+            Event::PeerMessageUnreadable { from, announced_form, unread } => {
+                self.unread(from, announced_form, unread)
+            }
+            Event::PeerInboundFailed { address, incarnation } => {
                 if self.members.suspect(address, incarnation, now) {
                     self.probe(address, now);
                 }
             }
-            Event::PeerReset { address } => {
+            Event::PeerOutboundFailed { address } => {
                 let life = self.members.life(address);
                 if life.is_some_and(|life| self.members.suspect(address, life, now)) {
                     self.probe(address, now);
                 }
             }
             Event::PeerUnreachable { address } => self.on_unreachable(address, now),
-            Event::Published { documents, whole_at } => self.published(documents, whole_at, now),
-            Event::Evacuations { changes, whole_at } => {
-                self.evacuations_published(&changes, whole_at, now);
+            Event::Published { documents, snapshot_at } => {
+                self.published(documents, snapshot_at, now)
+            }
+            Event::Evacuations { changes, snapshot_at } => {
+                self.evacuations_published(&changes, snapshot_at, now);
             }
-            Event::Unreadable { key, cause } => self.note(Note::Unreadable { key, cause }),
-            Event::PassedOver { document, fields } => {
-                self.note(Note::passed_over(document, fields));
+            Event::Unreadable { key, cause } => self.log(LogEvent::Unreadable { key, cause }),
+            Event::UnknownFields { document, fields } => {
+                self.log(LogEvent::unknown_fields(document, fields));
             }
-            Event::Publisher { answers } => {
+            Event::PublisherStatus { answers } => {
                 self.documents.publisher(answers, now);
-                self.note(Note::Publisher { answers });
+                self.log(LogEvent::Publisher { answers });
             }
             Event::StoreEra { era } => self.observe_era(era, PUBLISHER),
-            Event::Reading => self.pulls.reading(now),
-            Event::PeerSends { from, progress } => self.pulls.progressed(from, progress, now),
-            Event::PeerBrokeOff { from, pull } => self.pull_failed(from, pull, "broken off", now),
+            Event::ConfigurationReadProgress => self.pulls.reading(now),
+            Event::ConfigurationPullProgress { from, progress } => {
+                self.pulls.progressed(from, progress, now)
+            }
+            Event::ConfigurationPullAborted { from, pull } => {
+                self.pull_failed(from, pull, "broken off", now)
+            }
             Event::StoreRead(read) => self.store_read(&read),
             Event::Seeds(seeds) => self.members.set_seeds(seeds),
             Event::Drain { at } => self.drain(at.min(now), now),
-            Event::End => self.end(now),
+            Event::Shutdown => self.end(now),
             Event::Tick => {}
         }
     }
 
-    pub(super) fn note(&mut self, note: Note) {
-        self.out.push(Action::Note(note));
+    pub(super) fn log(&mut self, event: LogEvent) {
+        self.out.push(Action::Log(event));
     }
 
     /// A caller asks: its request waits while what it needs to be decided is about to come.
-    fn submit(&mut self, caller: u64, incoming: Incoming, now: Timestamp) {
+    fn submit(&mut self, caller: u64, incoming: IncomingRequest, now: Timestamp) {
         let arrived = now.saturating_sub(self.waited);
         if self.early.is_open() && !self.knows_enough(&incoming, now) {
             return self.early.add(caller, incoming, arrived);
@@ -289,7 +306,7 @@
         if self.stop.is_none() {
             self.stop = Some(Stop::new(at, self.grace));
             let others_serve = stop::others_serve(&self.members, now);
-            self.note(Note::Stopping { grace_ms: ms(self.grace), others_serve });
+            self.log(LogEvent::Stopping { grace_ms: ms(self.grace), others_serve });
             self.next_beat = now;
             self.look_at_stop(now);
         }
@@ -318,7 +335,7 @@
         let (unanswered, streams) = self.requests.end_all(now);
         let own = self.members.own().address;
         self.owners.end_all(own);
-        self.note(Note::Stopped {
+        self.log(LogEvent::Stopped {
             stopping_ms: self.stop.map_or(0, |s| ms(s.age(now))),
             unanswered,
             streams,
@@ -327,7 +344,7 @@
     }
 
     pub(super) fn tell(&mut self, to: SocketAddr, message: PeerMessage) {
-        self.out.push(Action::Tell { to, message });
+        self.out.push(Action::Send { to, message });
     }
 
     fn housekeeping(&mut self, now: Timestamp) {
@@ -366,9 +383,9 @@
             }
             for action in produced {
                 match action {
-                    Action::Tell { to, message } if to == own => self.on_peer(own, message, now),
-                    Action::Poison(report) => self.poison_reported(report, now),
-                    Action::AskPermit(wanted) => self.ask_permit(wanted, now),
+                    Action::Send { to, message } if to == own => self.on_peer(own, message, now),
+                    Action::PoisonReport(report) => self.poison_reported(report, now),
+                    Action::RequestPermit(wanted) => self.ask_permit(wanted, now),
                     action => actions.push(action),
                 }
             }
@@ -387,40 +404,40 @@
         matches!(
             event,
             Event::Submit { .. }
-                | Event::CallerGone { .. }
+                | Event::CallerDisconnected { .. }
                 | Event::Answered { .. }
                 | Event::CallFailed { .. }
                 | Event::CallSent { .. }
-                | Event::Stated { .. }
+                | Event::EndpointStatus { .. }
                 | Event::FirstEvent { .. }
                 | Event::StreamEnded { .. }
                 | Event::Probed { .. }
                 | Event::Drain { .. }
-                | Event::End
+                | Event::Shutdown
         )
     }
 
     /// Nobody was heard meanwhile, which says nothing of them. Whoever is there is told at once that this process
     /// is, and asked for what is new.
-    fn stood_still(&mut self, for_so_long: Duration, now: Timestamp) {
-        self.went_on_at = now;
-        self.members.stood_still(for_so_long, now);
-        self.requests.stood_still(now);
-        self.owners.stood_still(now);
+    fn on_suspension(&mut self, duration: Duration, now: Timestamp) {
+        self.resumed_at = now;
+        self.members.on_suspension(duration, now);
+        self.requests.on_suspension(now);
+        self.owners.on_suspension(now);
         self.next_beat = Timestamp::ZERO;
         self.next_ask = Timestamp::ZERO;
-        self.note(Note::StoodStill { for_ms: ms(for_so_long) });
+        self.log(LogEvent::Suspended { for_ms: ms(duration) });
     }
 
-    fn waits(&mut self, waited: Duration, now: Timestamp) {
+    fn on_queue_delay(&mut self, waited: Duration, now: Timestamp) {
         self.waited = waited;
         // A process that stood still is not short of time since.
-        self.lateness.waited(waited.min(now.saturating_sub(self.went_on_at)), now);
+        self.lateness.waited(waited.min(now.saturating_sub(self.resumed_at)), now);
         let lateness = self.lateness.now(now);
         self.requests.set_lateness(lateness);
         self.owners.set_lateness(lateness);
-        if let Some(is_short) = self.lateness.changed(now) {
-            self.note(Note::ShortOfTime { is_short, late_ms: ms(lateness) });
+        if let Some(is_overloaded) = self.lateness.changed(now) {
+            self.log(LogEvent::Overloaded { is_overloaded, late_ms: ms(lateness) });
         }
     }
 
--- a/src/direct/hearing.rs
+++ b/src/direct/endpoint_status.rs
@@ -8,7 +8,7 @@
 use crate::direct::core::GatewayCore;
 use crate::direct::departures::Departure;
 use crate::direct::event::Action;
-use crate::direct::note::{Note, ms};
+use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::published::documents::{EntryState, Merged};
 use crate::direct::published::model::Endpoint;
 use crate::direct::statement::{Asked, Backoff, RateLimit, Statement};
@@ -41,7 +41,7 @@
             Some(Backoff::For(time)) => Some(ms(time)),
             Some(Backoff::Unclear) | None => None,
         };
-        self.note(Note::Stated {
+        self.log(LogEvent::EndpointStatus {
             endpoint: endpoint.id.clone(),
             incarnation: endpoint.incarnation,
             asked: asked.as_str(),
@@ -103,12 +103,12 @@
         let (id, incarnation) = (departure.endpoint.clone(), departure.incarnation);
         let there = self.documents.endpoint(&id).cloned();
         self.table.depart(departure, there.as_ref());
-        self.out.push(Action::Withhold { endpoint: id.clone(), incarnation, until: None });
+        self.out.push(Action::BlockSends { endpoint: id.clone(), incarnation, until: None });
         if !is_news {
             return;
         }
         let state = EntryState::Leaving.as_str();
-        self.note(Note::Endpoint { endpoint: id.clone(), state, source: source.to_owned() });
+        self.log(LogEvent::Endpoint { endpoint: id.clone(), state, source: source.to_owned() });
         self.requests.changed(&self.table, &Merged::default(), &[], now);
         self.owners.changed(&self.table, &Merged::default(), &[], now);
         self.entries_may_prove(&[id], now);
@@ -126,7 +126,7 @@
     ) -> Option<Timestamp> {
         let until = Arc::make_mut(&mut self.backoffs).asked(endpoint, backoff, at)?;
         let (id, incarnation) = (endpoint.id.clone(), endpoint.incarnation);
-        self.out.push(Action::Withhold { endpoint: id, incarnation, until: Some(until) });
+        self.out.push(Action::BlockSends { endpoint: id, incarnation, until: Some(until) });
         self.requests.paused(endpoint, until, &self.backoffs, &self.table, now);
         self.owners.paused(endpoint, &self.backoffs, &self.table, now);
         Some(until)
--- a/src/direct/event.rs
+++ b/src/direct/event.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::direct::answers::{BatchOutcome, BatchReport, CallFailure, Proof};
+use crate::direct::answers::{AnswerProof, BatchOutcome, BatchReport, CallFailure};
 use crate::direct::limits::permits::Wanted;
-use crate::direct::note::Note;
+use crate::direct::log_events::LogEvent;
 use crate::direct::peers::build::Build;
 use crate::direct::peers::codec::Unread;
 use crate::direct::peers::message::{Handle, PeerMessage};
@@ -24,7 +24,7 @@
 
 /// What a caller asks, as far as decisions depend on it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Incoming {
+pub struct IncomingRequest {
     /// The caller's id of the request.
     pub id: Name,
     /// The host that it names.
@@ -34,7 +34,7 @@
     /// The key that it shows.
     pub key: Option<String>,
     /// How long the caller waits.
-    pub allowed: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// What is to be generated, where the request says so.
     pub generation: Option<Generation>,
     /// Pieces of each stage.
@@ -47,7 +47,7 @@
     pub content: Fingerprint,
 }
 
-impl Incoming {
+impl IncomingRequest {
     /// Whether any piece of a stage is to be made for it.
     pub fn has_pieces(&self) -> bool {
         self.pieces.iter().any(|&pieces| pieces > 0)
@@ -73,10 +73,10 @@
         /// Chosen by the shell.
         caller: u64,
         /// What is asked.
-        incoming: Incoming,
+        incoming: IncomingRequest,
     },
     /// The caller went away.
-    CallerGone {
+    CallerDisconnected {
         /// Who.
         caller: u64,
     },
@@ -87,7 +87,7 @@
         /// In which attempt.
         attempt: u64,
         /// What it proves.
-        proof: Proof,
+        proof: AnswerProof,
         /// Whether more follows, as events.
         is_open: bool,
     },
@@ -119,7 +119,7 @@
         /// In which attempt.
         attempt: u64,
         /// Whether it is whole.
-        whole: bool,
+        is_complete: bool,
         /// The last event that was passed on.
         last_event: Option<String>,
     },
@@ -131,7 +131,7 @@
         outcome: BatchOutcome,
     },
     /// An endpoint said something of itself in the head of an answer.
-    Stated {
+    EndpointStatus {
         /// Which, in the life that was called.
         endpoint: Arc<Endpoint>,
         /// What it was asked.
@@ -144,16 +144,16 @@
         at: Timestamp,
     },
     /// An endpoint that works in batches told how it stands.
-    Reported {
+    ReportReceived {
         /// Which.
         endpoint: Name,
         /// What it told.
         report: BatchReport,
         /// When it was asked.
-        asked: Timestamp,
+        requested_at: Timestamp,
     },
     /// An endpoint did not tell how it stands, or not in time.
-    NoReport {
+    ReportFailed {
         /// Which.
         endpoint: Name,
     },
@@ -167,7 +167,7 @@
         is_closed: bool,
     },
     /// Another gateway speaks.
-    Peer {
+    PeerMessage {
         /// Who, by where its peers connect.
         from: SocketAddr,
         /// What.
@@ -183,23 +183,23 @@
         build: Build,
     },
     /// A peer said something that this build does not read.
-    PeerUnread {
+    PeerMessageUnreadable {
         /// Who.
         from: SocketAddr,
         /// The compact form that its greeting named.
-        greeted: u32,
+        announced_form: u32,
         /// Why.
         unread: Unread,
     },
     /// The connection from this life of a peer broke.
-    PeerBroke {
+    PeerInboundFailed {
         /// Who.
         address: SocketAddr,
         /// Its life.
         incarnation: u64,
     },
     /// The connection to a peer broke.
-    PeerReset {
+    PeerOutboundFailed {
         /// Who.
         address: SocketAddr,
     },
@@ -213,14 +213,14 @@
         /// Some or all.
         documents: Vec<Revised>,
         /// Where these are the whole list of endpoints.
-        whole_at: Option<Position>,
+        snapshot_at: Option<Position>,
     },
     /// Orders to evacuate data centres were given or taken back.
     Evacuations {
         /// Some changes, or all orders that stand.
         changes: Vec<Evacuation>,
         /// Where these are all that stand.
-        whole_at: Option<Position>,
+        snapshot_at: Option<Position>,
     },
     /// A document of the publisher can't be read: it names nothing to use.
     Unreadable {
@@ -230,14 +230,14 @@
         cause: String,
     },
     /// Fields of a document of the publisher are not known, and passed over.
-    PassedOver {
+    UnknownFields {
         /// What it is.
         document: &'static str,
         /// Their names.
         fields: BTreeSet<String>,
     },
     /// The publisher answers, or stopped to.
-    Publisher {
+    PublisherStatus {
         /// Whether it answers.
         answers: bool,
     },
@@ -247,16 +247,16 @@
         era: u64,
     },
     /// Something came of a configuration that is read from the publisher.
-    Reading,
+    ConfigurationReadProgress,
     /// Something came of a configuration that a peer sends.
-    PeerSends {
+    ConfigurationPullProgress {
         /// Who.
         from: SocketAddr,
         /// What came so far.
         progress: Progress,
     },
     /// A peer broke off while it sent a configuration.
-    PeerBrokeOff {
+    ConfigurationPullAborted {
         /// Who.
         from: SocketAddr,
         /// The number of the pull that it answered; 0 if it didn't tell.
@@ -272,18 +272,18 @@
         at: Timestamp,
     },
     /// The process ends now.
-    End,
+    Shutdown,
     /// Time has passed.
     Tick,
 }
 
 /// How a request is handed to an endpoint.
 #[derive(Debug, Clone, PartialEq)]
-pub struct CallOrder {
+pub struct CallSpec {
     /// Where.
     pub endpoint: Arc<Endpoint>,
     /// How long the endpoint may work.
-    pub allowed: Duration,
+    pub timeout: Duration,
     /// The organisation that asks.
     pub organisation: Option<Name>,
     /// Results that it needs.
@@ -304,7 +304,7 @@
 
 /// One piece of a call.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PieceOrder {
+pub struct PieceSpec {
     /// The caller's id of the request.
     pub request: Name,
     /// The stage's position.
@@ -375,10 +375,10 @@
         /// The new attempt.
         attempt: u64,
         /// How.
-        order: CallOrder,
+        order: CallSpec,
     },
     /// Let go of an attempt: its endpoint must stop.
-    Hangup {
+    CancelAttempt {
         /// Whose.
         caller: u64,
         /// Which.
@@ -399,37 +399,37 @@
         refusal: Refusal,
     },
     /// End a stream that is whole.
-    Finish {
+    EndStream {
         /// To whom.
         caller: u64,
     },
     /// Break a stream off so that it doesn't look whole.
-    Abort {
+    AbortStream {
         /// To whom.
         caller: u64,
     },
     /// Call an endpoint with pieces.
-    Batch {
+    CallBatch {
         /// The new call.
         call: u64,
         /// Where.
         endpoint: Arc<Endpoint>,
         /// What.
-        pieces: Vec<PieceOrder>,
+        pieces: Vec<PieceSpec>,
         /// When the call is given up.
         timeout: Duration,
         /// Until when it may go out to an endpoint with a limit.
         permit: Option<Timestamp>,
     },
     /// Ask an endpoint that works in batches how it stands.
-    AskReport(Arc<Endpoint>),
+    RequestReport(Arc<Endpoint>),
     /// See whether an endpoint's port is closed.
     Probe(Arc<Endpoint>),
     /// What requests and owners tell of what they run; the core keeps it for itself.
-    Poison(Report),
+    PoisonReport(Report),
     /// Let nothing more go out to this life of an endpoint, of what was ordered before: until a time, or without one no
     /// new work for good.
-    Withhold {
+    BlockSends {
         /// The endpoint.
         endpoint: Name,
         /// Its life.
@@ -438,9 +438,9 @@
         until: Option<Timestamp>,
     },
     /// What requests and owners want permits for; the core keeps it for itself.
-    AskPermit(Wanted),
+    RequestPermit(Wanted),
     /// Let nothing go out to this life of an endpoint without a permit, or let everything again.
-    Limit {
+    RequirePermits {
         /// The endpoint.
         endpoint: Name,
         /// Its life.
@@ -449,7 +449,7 @@
         is_limited: bool,
     },
     /// Tell a maker that results aren't needed any more.
-    Free {
+    FreeResults {
         /// Where.
         endpoint: Arc<Endpoint>,
         /// Which.
@@ -458,14 +458,14 @@
         permit: Option<Timestamp>,
     },
     /// Tell another gateway.
-    Tell {
+    Send {
         /// Whom.
         to: SocketAddr,
         /// What.
         message: PeerMessage,
     },
     /// Tell several other gateways the same.
-    Spread {
+    Broadcast {
         /// Whom.
         to: Vec<SocketAddr>,
         /// What.
@@ -477,11 +477,11 @@
         from: SocketAddr,
     },
     /// Whether the process calls itself ready.
-    Ready(bool),
+    SetReady(bool),
     /// What callers may send.
-    Limits(CallerLimits),
+    SetCallerLimits(CallerLimits),
     /// The store is in a newer era: what is followed of earlier ones is void.
-    StoreEra(u64),
+    SetStoreEra(u64),
     /// Write a line.
-    Note(Note),
+    Log(LogEvent),
 }
--- a/src/direct/note/kinds.rs
+++ b/src/direct/log_events/kinds.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeSet;
 
-use crate::direct::note::{Note, ms};
+use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::peers::build::Build;
 use crate::direct::published::store_read::StoreRead;
 
-impl Note {
+impl LogEvent {
     /// First event of a process: its incarnation and build.
     pub fn started(incarnation: u64) -> Self {
         let Build { version, commit, form } = Build::own();
@@ -14,8 +14,8 @@
     }
 
     /// Event for fields of a document that this build ignores.
-    pub fn passed_over(document: &'static str, fields: BTreeSet<String>) -> Self {
-        Self::PassedOver { document, fields: fields.into_iter().collect() }
+    pub fn unknown_fields(document: &'static str, fields: BTreeSet<String>) -> Self {
+        Self::UnknownFields { document, fields: fields.into_iter().collect() }
     }
 
     /// Event for a read of the publisher's store.
@@ -40,14 +40,14 @@
             Self::Waited { .. } => "waited",
             Self::StagesSubmitted { .. } => "stages_submitted",
             Self::StagesDecided { .. } => "stages_decided",
-            Self::Reported { .. } => "reported",
+            Self::ReportReceived { .. } => "reported",
             Self::BatchSent { .. } => "batch_sent",
             Self::BatchEnded { .. } => "batch_ended",
             Self::Sent { .. } => "sent",
             Self::EndpointCrashed { .. } => "endpoint_crashed",
             Self::Quarantined { .. } => "quarantined",
             Self::Cleared { .. } => "cleared",
-            Self::StoodStill { .. } => "stood_still",
+            Self::Suspended { .. } => "stood_still",
             Self::AttemptFailed { .. } => "attempt_failed",
             Self::ResultsGone { .. } => "results_gone",
             Self::Ended { .. } => "ended",
@@ -62,14 +62,14 @@
             Self::Pulled { .. } => "pulled",
             Self::CoreLate { .. } => "core_late",
             Self::Endpoint { .. } => "endpoint",
-            Self::Stated { .. } => "stated",
+            Self::EndpointStatus { .. } => "stated",
             Self::Limit { .. } => "limit",
             Self::Permit { .. } => "permit",
             Self::Cold { .. } => "cold",
             Self::Restarted { .. } => "restarted",
             Self::Evacuation { .. } => "evacuation",
             Self::Unreadable { .. } => "unreadable",
-            Self::PassedOver { .. } => "passed_over",
+            Self::UnknownFields { .. } => "passed_over",
             Self::Suspicion { .. } => "suspicion",
             Self::Peer { .. } => "peer",
             Self::Publisher { .. } => "publisher",
@@ -80,7 +80,7 @@
             Self::Stopping { .. } => "stopping",
             Self::StopDecided { .. } => "stop_decided",
             Self::NoReport { .. } => "no_report",
-            Self::ShortOfTime { .. } => "short_of_time",
+            Self::Overloaded { .. } => "short_of_time",
             Self::Stopped { .. } => "stopped",
             Self::Reloaded { .. } => "reloaded",
         }
--- a/src/direct/note/mod.rs
+++ b/src/direct/log_events/mod.rs
@@ -8,13 +8,13 @@
 
 use serde::Serialize;
 
-pub use crate::direct::note::store::{PublishedVersion, StoreEra, StoreReturned};
+pub use crate::direct::log_events::store::{PublishedVersion, StoreEra, StoreReturned};
 use crate::direct::published::model::Name;
 
 /// Log event, written with its name in snake case as field `event`.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
-pub enum Note {
+pub enum LogEvent {
     /// A request was admitted; logged before it is checked for poison.
     Arrived {
         /// Request id given by the caller.
@@ -23,8 +23,7 @@
         route: Name,
         /// Organisation of the caller; `None` without an API key.
         organisation: Option<Name>,
-        /// Digest of content and organisation; the same if the request is repeated under another
-        /// id.
+        /// Digest of content and organisation; a repeat under another id has the same.
         fingerprint: String,
         /// Version of the configuration.
         version: u64,
@@ -63,12 +62,12 @@
         predicted_ms: u64,
         /// Milliseconds until the objective.
         objective_ms: u64,
-        /// Share of this pool's result memory in use when the request needs it, the request
-        /// included.
+        /// Share of this pool's result memory in use when needed, this request included.
         room_share: f64,
     },
     /// An endpoint of a batch pool reported its load to the owner.
-    Reported {
+    #[serde(rename = "reported")]
+    ReportReceived {
         /// Id of the endpoint.
         endpoint: Name,
         /// Bytes of its result memory that are free.
@@ -138,7 +137,8 @@
         source: String,
     },
     /// The process was suspended or got no processor time, and has resumed.
-    StoodStill {
+    #[serde(rename = "stood_still")]
+    Suspended {
         /// Milliseconds of the suspension.
         for_ms: u64,
     },
@@ -274,12 +274,12 @@
         endpoint: Name,
         /// `listed`, `leaving`, `lapsed` (expired while the store was unavailable) or `gone`.
         state: &'static str,
-        /// `publisher`, a gateway's address, or the kind of call in which a departure was
-        /// announced.
+        /// `publisher`, a gateway's address, or the kind of call that announced a departure.
         source: String,
     },
     /// A response contained status headers with something new about its endpoint, or a backoff.
-    Stated {
+    #[serde(rename = "stated")]
+    EndpointStatus {
         /// Id of the endpoint.
         endpoint: Name,
         /// Incarnation that was called.
@@ -366,7 +366,8 @@
         cause: String,
     },
     /// Fields of a document from the platform are unknown to this build and ignored; logged once.
-    PassedOver {
+    #[serde(rename = "passed_over")]
+    UnknownFields {
         /// `configuration`, `entry`, `answer of the store` or `answer of an endpoint`.
         document: &'static str,
         /// Names of the fields.
@@ -448,8 +449,7 @@
     StopDecided {
         /// Request id given by the caller.
         request: Name,
-        /// `door` (on arrival), `stages` (before the end of its stages) or `dispatch` (before
-        /// sending).
+        /// `door` (on arrival), `stages` (while stages run) or `dispatch` (before sending).
         at: &'static str,
         /// Whether the request continues.
         taken: bool,
@@ -457,22 +457,22 @@
         stopping_ms: u64,
         /// Milliseconds until the process exits.
         left_ms: u64,
-        /// Milliseconds until the response would be complete, by its deadline or by typical
-        /// durations; `None` if not estimated.
+        /// Milliseconds to the complete response, by deadline or typical durations, if estimated.
         expected_ms: Option<u64>,
         /// Whether another gateway is known to serve requests.
         others_serve: bool,
     },
-    /// An endpoint's load report did not arrive in time or was invalid: the owner plans as if no
-    /// other owner used the endpoint.
+    /// A load report was late or invalid: the owner plans as if it alone used the endpoint.
     NoReport {
         /// Id of the endpoint.
         endpoint: Name,
     },
     /// The process became overloaded (events wait long before they are handled), or recovered.
-    ShortOfTime {
+    #[serde(rename = "short_of_time")]
+    Overloaded {
         /// Whether the process is overloaded.
-        is_short: bool,
+        #[serde(rename = "is_short")]
+        is_overloaded: bool,
         /// Average event lag in milliseconds.
         late_ms: u64,
     },
--- a/src/direct/owner/admission.rs
+++ b/src/direct/owner/admission.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crate::direct::event::Action;
-use crate::direct::note::{Note, ms};
+use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::owner::calls::SETTLING;
 use crate::direct::owner::due::Due;
 use crate::direct::owner::jobs::{JobRun, Piece, expected_calls};
@@ -81,7 +81,7 @@
         let mut decision = admit_path(&loads, after, job.to_objective, job.priority);
         decision.refusal = decision.refusal.filter(|_| !job.resubmitted);
         let narrowest = job.stages.get(decision.narrowest);
-        self.out.push(Action::Note(Note::StagesDecided {
+        self.out.push(Action::Log(LogEvent::StagesDecided {
             request: job.request.clone(),
             admitted: decision.refusal.is_none(),
             pool: narrowest.map_or_else(|| "".into(), |s| s.pool.clone()),
--- a/src/direct/owner/entry.rs
+++ b/src/direct/owner/entry.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::direct::note::ms;
+use crate::direct::log_events::ms;
 use crate::direct::owner::bookings::Booking;
 use crate::direct::owner::jobs::{HEAVY, JobRun};
 use crate::direct::owner::ledger::{Entry, StageEntry};
--- a/src/direct/owner/filling.rs
+++ b/src/direct/owner/filling.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::direct::event::{Action, PieceOrder};
-use crate::direct::note::{Note, ms};
+use crate::direct::event::{Action, PieceSpec};
+use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::owner::calls::{Call, PieceId};
 use crate::direct::owner::due::Due;
 use crate::direct::owner::free::Endpoints;
@@ -121,7 +121,7 @@
         let expected = spec.call + spec.piece * orders.len() as u32;
         let patience = expected.mul_f64(OVERDUE) + PATIENCE;
         let queued = self.ledger.get(pool).map_or(0, |ledger| ledger.queue.pieces());
-        self.out.push(Action::Note(Note::BatchSent {
+        self.out.push(Action::Log(LogEvent::BatchSent {
             call,
             endpoint: endpoint.id.clone(),
             pieces: orders.iter().map(|o| (o.request.clone(), o.stage, o.piece)).collect(),
@@ -137,7 +137,7 @@
         self.calls.insert(call, sent);
         let timeout = patience * 4;
         let permit = self.take_permit(&endpoint);
-        self.out.push(Action::Batch { call, endpoint, pieces: orders, timeout, permit });
+        self.out.push(Action::CallBatch { call, endpoint, pieces: orders, timeout, permit });
     }
 }
 
@@ -229,10 +229,10 @@
     taken
 }
 
-fn piece_order(run: &JobRun, stage: usize, piece: usize, now: Timestamp) -> PieceOrder {
+fn piece_order(run: &JobRun, stage: usize, piece: usize, now: Timestamp) -> PieceSpec {
     let spec = &run.job.stages[stage];
     let inputs = spec.after.iter().flat_map(|&a| run.stages[a].results());
-    PieceOrder {
+    PieceSpec {
         request: run.job.request.clone(),
         stage,
         piece,
--- a/src/direct/owner/inspect.rs
+++ b/src/direct/owner/inspect.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::direct::note::ms;
+use crate::direct::log_events::ms;
 use crate::direct::owner::jobs::JobRun;
 use crate::direct::owner::pace::Pace;
 use crate::direct::owner::plan::{Basis, Filling, expected_runs, fillings};
--- a/src/direct/owner/outcomes.rs
+++ b/src/direct/owner/outcomes.rs
@@ -5,7 +5,7 @@
 
 use crate::direct::answers::{BatchOutcome, CallFailure, PieceOutcome};
 use crate::direct::event::Action;
-use crate::direct::note::{Note, ms};
+use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::owner::calls::{Call, PieceId, SETTLING};
 use crate::direct::owner::jobs::Piece;
 use crate::direct::owner::scheduler::Scheduler;
@@ -29,7 +29,7 @@
         let took = now.saturating_sub(call.sent);
         self.makers.ended(&call.endpoint.id);
         self.dirty.insert(call.pool.clone());
-        self.out.push(Action::Note(Note::BatchEnded {
+        self.out.push(Action::Log(LogEvent::BatchEnded {
             call: id,
             endpoint: call.endpoint.id.clone(),
             outcome: describe(&outcome),
@@ -37,7 +37,7 @@
         }));
         match outcome {
             BatchOutcome::Pieces(outcomes) => {
-                if call.sent >= self.went_on_at {
+                if call.sent >= self.resumed_at {
                     if let Some(spec) = table.batch(&call.pool) {
                         self.paces.called(&call.pool, spec, took);
                     }
@@ -70,7 +70,7 @@
     pub(super) fn avoid(&mut self, endpoint: &Name, cause: &'static str, now: Timestamp) {
         self.makers.failed(endpoint, now);
         let endpoint = endpoint.clone();
-        self.out.push(Action::Note(Note::Suspicion { endpoint, avoided: true, cause }));
+        self.out.push(Action::Log(LogEvent::Suspicion { endpoint, avoided: true, cause }));
     }
 
     pub(super) fn judge_speed(
@@ -89,8 +89,8 @@
         let pool = table.members(&call.pool);
         if self.makers.avoid_if_slow(&call.endpoint.id, &call.pool, pool, now) {
             let endpoint = call.endpoint.id.clone();
-            let note = Note::Suspicion { endpoint, avoided: true, cause: "slow" };
-            self.out.push(Action::Note(note));
+            let event = LogEvent::Suspicion { endpoint, avoided: true, cause: "slow" };
+            self.out.push(Action::Log(event));
         }
     }
 
@@ -132,7 +132,7 @@
             }
         }
         if no_room && self.may_be_asked(&call.endpoint, table, now) {
-            self.out.push(Action::AskReport(call.endpoint.clone()));
+            self.out.push(Action::RequestReport(call.endpoint.clone()));
         }
         for job in call.jobs() {
             self.advance(job, table);
--- a/src/direct/owner/owners.rs
+++ b/src/direct/owner/owners.rs
@@ -61,8 +61,8 @@
     }
 
     /// This process stood still until now.
-    pub fn stood_still(&mut self, now: Timestamp) {
-        self.each(|owner| owner.stood_still(now));
+    pub fn on_suspension(&mut self, now: Timestamp) {
+        self.each(|owner| owner.on_suspension(now));
     }
 
     /// Contents under which endpoints crashed; those `quarantined` are refused since.
--- a/src/direct/owner/pauses.rs
+++ b/src/direct/owner/pauses.rs
@@ -69,7 +69,7 @@
         let freed = self.to_free.extract_if(.., |_, (endpoint, _)| may_be(endpoint));
         let freed = freed.map(|(_, (endpoint, handles))| {
             let permit = None;
-            Action::Free { endpoint, handles, permit }
+            Action::FreeResults { endpoint, handles, permit }
         });
         self.out.extend(freed);
     }
--- a/src/direct/owner/permits.rs
+++ b/src/direct/owner/permits.rs
@@ -119,7 +119,7 @@
 
     fn want(&mut self, endpoint: Arc<Endpoint>, purpose: Purpose, priority: u8) {
         self.permits.asked.push((endpoint.id.clone(), purpose));
-        self.out.push(Action::AskPermit(Wanted { endpoint, purpose, priority, wait: WAIT }));
+        self.out.push(Action::RequestPermit(Wanted { endpoint, purpose, priority, wait: WAIT }));
     }
 
     /// A permit was given that holds until a time.
@@ -136,7 +136,8 @@
         if purpose == Purpose::Free {
             let freed = self.to_free.remove(&endpoint.id);
             let permit = Some(until);
-            let free = freed.map(|(endpoint, handles)| Action::Free { endpoint, handles, permit });
+            let free =
+                freed.map(|(endpoint, handles)| Action::FreeResults { endpoint, handles, permit });
             return self.out.extend(free);
         }
         self.permits.given.insert(endpoint.id.clone(), until);
--- a/src/direct/owner/poison.rs
+++ b/src/direct/owner/poison.rs
@@ -62,7 +62,7 @@
 
     /// A call was not answered.
     pub(super) fn report_unanswered(&mut self, call: &Call, how: Unanswered) {
-        self.out.push(Action::Poison(Report::Unanswered {
+        self.out.push(Action::PoisonReport(Report::Unanswered {
             endpoint: call.endpoint.clone(),
             runs: call.parts.iter().map(|part| part.run).collect(),
             how,
@@ -75,7 +75,8 @@
         let made = made.filter(|(_, outcome)| matches!(outcome, PieceOutcome::Made(_)));
         let made: BTreeSet<(JobId, usize)> = made.map(|(((j, s, _), _), _)| (*j, *s)).collect();
         let well = call.parts.iter().filter(|part| made.contains(&(part.job, part.stage)));
-        let reports = well.map(|part| Action::Poison(Report::Succeeded(part.run.fingerprint)));
+        let reports =
+            well.map(|part| Action::PoisonReport(Report::Succeeded(part.run.fingerprint)));
         self.out.extend(reports);
     }
 }
--- a/src/direct/owner/restarts.rs
+++ b/src/direct/owner/restarts.rs
@@ -2,7 +2,7 @@
 //! again.
 
 use crate::direct::event::Action;
-use crate::direct::note::{Note, ms};
+use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::owner::jobs::{JobRun, Piece};
 use crate::direct::owner::scheduler::Scheduler;
 use crate::direct::peers::message::{JobId, JobReason};
@@ -33,7 +33,7 @@
             let Some(call) = self.calls.remove(&id) else {
                 continue;
             };
-            self.out.push(Action::Note(Note::BatchEnded {
+            self.out.push(Action::Log(LogEvent::BatchEnded {
                 call: id,
                 endpoint: endpoint.clone(),
                 outcome: "endpoint restarted".to_owned(),
--- a/src/direct/owner/scheduler.rs
+++ b/src/direct/owner/scheduler.rs
@@ -14,7 +14,7 @@
 use crate::direct::cold::ColdEndpoints;
 use crate::direct::event::Action;
 use crate::direct::limits::known::KnownLimits;
-use crate::direct::note::Note;
+use crate::direct::log_events::LogEvent;
 use crate::direct::owner::calls::{Calls, SETTLING};
 use crate::direct::owner::due::{Due, Timers};
 use crate::direct::owner::entry::entry;
@@ -79,7 +79,7 @@
     /// How late this process handles its events.
     pub(super) lateness: Duration,
     /// When this process last went on after it had stood still.
-    pub(super) went_on_at: Timestamp,
+    pub(super) resumed_at: Timestamp,
     pub(super) last_submit: Option<Timestamp>,
     /// When jobs began to come, after none had for a while.
     pub(super) owner_since: Timestamp,
@@ -115,7 +115,7 @@
             last_look: Timestamp::ZERO,
             reports_asked: None,
             lateness: Duration::ZERO,
-            went_on_at: Timestamp::ZERO,
+            resumed_at: Timestamp::ZERO,
             last_submit: None,
             owner_since: Timestamp::ZERO,
             looked_at: 0,
@@ -146,8 +146,8 @@
 
     /// This process stood still until now: what became due meanwhile is looked at once the results are read that
     /// came meanwhile, and calls that were out tell nothing of how fast endpoints are.
-    pub fn stood_still(&mut self, now: Timestamp) {
-        self.went_on_at = now;
+    pub fn on_suspension(&mut self, now: Timestamp) {
+        self.resumed_at = now;
         self.timers.postpone(now, now + READ_FIRST);
     }
 
@@ -213,7 +213,7 @@
         let endpoints = endpoints.filter(|e| self.backoffs.until(e, now).is_none());
         let endpoints = endpoints.filter(|e| self.limits.rate(e, now).is_none());
         let endpoints: Vec<_> = endpoints.filter(|e| self.calls_endpoint(e, table)).collect();
-        self.out.extend(endpoints.into_iter().map(|e| Action::AskReport(e.clone())));
+        self.out.extend(endpoints.into_iter().map(|e| Action::RequestReport(e.clone())));
     }
 
     /// An endpoint told how it stands.
@@ -231,10 +231,10 @@
         let listed = table.endpoint(endpoint).map_or(0, |e| e.incarnation);
         if report.incarnation != 0 && listed != 0 && report.incarnation != listed {
             // Its entry is about to tell of the life that the report is about, or has told of a later one.
-            return self.out.push(Action::Note(Note::NoReport { endpoint: endpoint.clone() }));
+            return self.out.push(Action::Log(LogEvent::NoReport { endpoint: endpoint.clone() }));
         }
         self.makers.reported(endpoint, spec.room_bytes, report.free_bytes, now);
-        self.out.push(Action::Note(Note::Reported {
+        self.out.push(Action::Log(LogEvent::ReportReceived {
             endpoint: endpoint.clone(),
             free_bytes: report.free_bytes,
             of_others: self.makers.of_others(endpoint, now),
@@ -444,7 +444,7 @@
     }
 
     pub(super) fn tell(&mut self, job: JobId, message: PeerMessage) {
-        self.out.push(Action::Tell { to: job.gateway, message });
+        self.out.push(Action::Send { to: job.gateway, message });
     }
 
     pub(super) fn free(&mut self, made: &Made, bytes: u64, table: &Table) {
--- a/src/direct/talking.rs
+++ b/src/direct/peer_messages.rs
@@ -8,7 +8,7 @@
 use crate::direct::event::Action;
 use crate::direct::limits::known::LimitTold;
 use crate::direct::limits::limiter::Asker;
-use crate::direct::note::Note;
+use crate::direct::log_events::LogEvent;
 use crate::direct::peers::build::{Build, Greeted};
 use crate::direct::peers::codec::Unread;
 use crate::direct::peers::message::{Job, JobId, JobReason, PeerMessage};
@@ -57,7 +57,7 @@
                 // Who starts learns at once who is there, not with the next heartbeat.
                 let newly_heard = heard.alive.iter().any(|m| m.address == from);
                 for member in heard.alive {
-                    self.note(Note::Peer {
+                    self.log(LogEvent::Peer {
                         address: member.address,
                         incarnation: member.incarnation,
                         alive: true,
@@ -134,9 +134,9 @@
         cause: &'static str,
         now: Timestamp,
     ) {
-        self.note(Note::Peer { address, incarnation, alive: false, cause });
+        self.log(LogEvent::Peer { address, incarnation, alive: false, cause });
         if let Some((life, build)) = self.builds.lost(address) {
-            self.note_build(address, life, &build, "last");
+            self.log_build(address, life, &build, "last");
         }
         self.pulls.lost(address);
         self.owners.release_all_of(address, incarnation, &self.table);
@@ -149,12 +149,12 @@
     pub(super) fn greeted(&mut self, address: SocketAddr, incarnation: u64, build: &Build) {
         match self.builds.greeted(address, incarnation, build) {
             Greeted::AsBefore => {}
-            Greeted::Other => self.note_build(address, incarnation, build, "first"),
-            Greeted::Own(before) => self.note_build(address, incarnation, &before, "last"),
+            Greeted::Other => self.log_build(address, incarnation, build, "first"),
+            Greeted::Own(before) => self.log_build(address, incarnation, &before, "last"),
         }
     }
 
-    fn note_build(
+    fn log_build(
         &mut self,
         address: SocketAddr,
         incarnation: u64,
@@ -163,18 +163,18 @@
     ) {
         crate::metrics::peers_of_other_builds(self.builds.others());
         let Build { version, commit, form } = build.clone();
-        self.note(Note::PeerBuild { address, incarnation, version, commit, form, heard });
+        self.log(LogEvent::PeerBuild { address, incarnation, version, commit, form, heard });
     }
 
     /// A peer said what this build does not read. Whoever submitted a job hears at once that it is not begun here; what
     /// else was lost is said again: its connection ends where its form is unknown, and a peer is greeted then.
-    pub(super) fn unread(&mut self, from: SocketAddr, greeted: u32, unread: Unread) {
+    pub(super) fn unread(&mut self, from: SocketAddr, announced_form: u32, unread: Unread) {
         let (form, cause) = match unread {
             Unread::Form(form) => (form, "unknown form"),
-            Unread::Message { .. } => (greeted, "unknown message"),
+            Unread::Message { .. } => (announced_form, "unknown message"),
         };
         if self.builds.unread(from, form) {
-            self.note(Note::PeerUnread { address: from, form, cause });
+            self.log(LogEvent::PeerUnread { address: from, form, cause });
         }
         if let Unread::Message { job: Some(job) } = unread {
             self.refuse_job(job, from);
@@ -212,7 +212,7 @@
         let limits = self.news_of_limits(now);
         let message = self.gossip(departures, limits, now);
         self.tell_suspects(&to, now);
-        self.out.push(Action::Spread { to, message });
+        self.out.push(Action::Broadcast { to, message });
     }
 
     /// A peer's connection broke. If it is gone, it can't be reached; if it lives, what was on the
--- a/src/direct/peers/bulk.rs
+++ b/src/direct/peers/bulk.rs
@@ -136,18 +136,18 @@
         if !chunk.is_empty() {
             whole.extend_from_slice(&chunk);
             let progress = Progress { pull, bytes: whole.len() as u64, expected };
-            core.send(Event::PeerSends { from, progress }).await.ok();
+            core.send(Event::ConfigurationPullProgress { from, progress }).await.ok();
             continue;
         }
         crate::metrics::control_bytes("in", whole.len());
         match serde_json::from_slice::<PeerMessage>(&whole) {
             Ok(message) => {
-                core.send(Event::Peer { from, message }).await.ok();
+                core.send(Event::PeerMessage { from, message }).await.ok();
                 return;
             }
             Err(_) => metrics::counter!(crate::metrics::PEER_BAD).increment(1),
         }
         break;
     }
-    core.send(Event::PeerBrokeOff { from, pull }).await.ok();
+    core.send(Event::ConfigurationPullAborted { from, pull }).await.ok();
 }
--- a/src/direct/peers/links.rs
+++ b/src/direct/peers/links.rs
@@ -170,7 +170,7 @@
             let was_connected = run(to, &hello, receiver, &core).await;
             forget(&queues, to, &own_queue);
             let event = if was_connected {
-                Event::PeerReset { address: to }
+                Event::PeerOutboundFailed { address: to }
             } else {
                 Event::PeerUnreachable { address: to }
             };
@@ -285,7 +285,7 @@
     if is_answered && receive_all(connection, &hello, &core).await.is_err() {
         return;
     }
-    core.send(Event::PeerBroke { address, incarnation }).await.ok();
+    core.send(Event::PeerInboundFailed { address, incarnation }).await.ok();
 }
 
 /// Hands on what a peer sends until its connection ends, or until it sends what is in a form that is not known: its
@@ -298,10 +298,15 @@
     let from = hello.address;
     while let Ok(Some(Ok(frame))) = timeout(IDLE, connection.next()).await {
         match read(&frame, hello.form) {
-            Ok(message) => core.send(Event::Peer { from, message }).await?,
+            Ok(message) => core.send(Event::PeerMessage { from, message }).await?,
             Err(unread) => {
                 metrics::counter!(crate::metrics::PEER_BAD).increment(1);
-                core.send(Event::PeerUnread { from, greeted: hello.form, unread }).await?;
+                core.send(Event::PeerMessageUnreadable {
+                    from,
+                    announced_form: hello.form,
+                    unread,
+                })
+                .await?;
                 if matches!(unread, Unread::Form(_)) {
                     return Ok(());
                 }
--- a/src/direct/peers/members.rs
+++ b/src/direct/peers/members.rs
@@ -326,7 +326,7 @@
 
     /// This process stood still for so long, until now, and heard nobody: that says nothing of the others. They
     /// have as long to be heard from now on as they had before.
-    pub fn stood_still(&mut self, for_so_long: Duration, now: Timestamp) {
+    pub fn on_suspension(&mut self, for_so_long: Duration, now: Timestamp) {
         for heard in self.others.values_mut().filter_map(|known| known.heard.as_mut()) {
             *heard = (*heard + for_so_long).min(now);
         }
--- a/src/direct/suspecting.rs
+++ b/src/direct/poison_detection.rs
@@ -9,7 +9,7 @@
 
 use crate::direct::core::GatewayCore;
 use crate::direct::event::Action;
-use crate::direct::note::Note;
+use crate::direct::log_events::LogEvent;
 use crate::direct::peers::members::HEARTBEAT;
 use crate::direct::peers::message::PeerMessage;
 use crate::direct::poison::Report;
@@ -50,7 +50,7 @@
             return;
         }
         let quarantined = Arc::make_mut(&mut self.suspects).clear(fingerprint, now);
-        self.note(Note::Cleared { fingerprint: fingerprint.to_string() });
+        self.log(LogEvent::Cleared { fingerprint: fingerprint.to_string() });
         self.hand_out_suspects(quarantined, "own", now);
     }
 
@@ -92,7 +92,7 @@
             let suspects = Arc::make_mut(&mut self.suspects);
             quarantined.extend(suspects.crashed(&endpoint.id, endpoint.incarnation, &runs, now));
             let rounds = runs.iter().map(|run| (run.fingerprint.to_string(), run.round));
-            self.note(Note::EndpointCrashed {
+            self.log(LogEvent::EndpointCrashed {
                 endpoint: endpoint.id.clone(),
                 incarnation: endpoint.incarnation,
                 proof,
@@ -131,7 +131,7 @@
         for Quarantined { fingerprint, endpoints } in &quarantined {
             let (fingerprint, endpoints) = (fingerprint.to_string(), endpoints.clone());
             let source = source.to_owned();
-            self.note(Note::Quarantined { fingerprint, endpoints, source });
+            self.log(LogEvent::Quarantined { fingerprint, endpoints, source });
         }
         crate::metrics::poison(self.suspects.poison());
         self.requests.set_suspects(self.suspects.clone());
@@ -150,7 +150,7 @@
         if self.suspects.has_news() {
             let news = Arc::make_mut(&mut self.suspects).news(now);
             let message = PeerMessage::Suspects(news);
-            self.out.push(Action::Spread { to: to.to_vec(), message });
+            self.out.push(Action::Broadcast { to: to.to_vec(), message });
         }
         if now >= self.next_ask
             && let Some(peer) = self.members.alive().choose(&mut self.rng)
--- a/src/direct/following.rs
+++ b/src/direct/publication.rs
@@ -9,7 +9,7 @@
 
 use crate::direct::core::{GatewayCore, PUBLISHER};
 use crate::direct::event::Action;
-use crate::direct::note::{Note, ms};
+use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::peers::message::PeerMessage;
 use crate::direct::peers::pulls::Own;
 use crate::direct::published::documents::{Document, Merged, Revised, Seen};
@@ -59,11 +59,11 @@
         (REREAD_EACH * watching).min(LONGEST_REREAD)
     }
 
-    /// The publisher's store gave documents, or the whole list as it stood at `whole_at`.
+    /// The publisher's store gave documents, or the whole list as it stood at `snapshot_at`.
     pub(super) fn published(
         &mut self,
         documents: Vec<Revised>,
-        whole_at: Option<Position>,
+        snapshot_at: Option<Position>,
         now: Timestamp,
     ) {
         self.documents.publisher(true, now);
@@ -71,7 +71,7 @@
             self.pulls.read_ended();
             self.compare_published(&documents);
         }
-        let merged = match whole_at {
+        let merged = match snapshot_at {
             Some(at) => {
                 self.observe_era(at.era, PUBLISHER);
                 self.merge_whole(documents, at, PUBLISHER, now)
@@ -87,7 +87,7 @@
         if read.subject == StoreRead::CONFIGURATION && read.outcome != StoreRead::WHOLE {
             self.pulls.read_ended();
         }
-        self.note(Note::store_read(read));
+        self.log(LogEvent::store_read(read));
     }
 
     /// A peer sent its configuration.
@@ -101,7 +101,7 @@
         self.pulls.answered(from);
         let document = Document::Deployment(deployment);
         let merged = self.documents.merge(vec![Revised { position, made: 0, document }], now);
-        self.note_pull(from, "answered");
+        self.log_pull(from, "answered");
         self.merged(&merged, &from.to_string(), false, now);
     }
 
@@ -136,10 +136,10 @@
     }
 
     /// Tells what became of a pull.
-    pub(super) fn note_pull(&mut self, peer: SocketAddr, outcome: &'static str) {
+    pub(super) fn log_pull(&mut self, peer: SocketAddr, outcome: &'static str) {
         let Seen { version, endpoints } = self.documents.seen();
         let Position { era, revision: endpoints } = endpoints;
-        self.note(Note::Pull { peer, outcome, version, era, endpoints });
+        self.log(LogEvent::Pull { peer, outcome, version, era, endpoints });
     }
 
     /// What this gateway has.
@@ -160,7 +160,7 @@
         let newer =
             self.documents.deployment_after(seen.version).filter(|_| configuration.is_some());
         let (deployment, endpoints) = (newer.is_some(), documents.len());
-        self.note(Note::Pulled { peer: from, deployment, endpoints });
+        self.log(LogEvent::Pulled { peer: from, deployment, endpoints });
         let Position { era, revision: seen } = self.documents.seen().endpoints;
         self.tell(from, PeerMessage::Documents { documents, complete, seen, era });
         match newer {
@@ -182,15 +182,15 @@
         now: Timestamp,
     ) {
         if self.pulls.failed(peer, pull, now) {
-            self.note_pull(peer, outcome);
+            self.log_pull(peer, outcome);
         }
     }
 
     /// Tells that a newer configuration is in force, and since when it was known of.
-    pub(super) fn note_configured(&mut self, before: u64, source: &str, now: Timestamp) {
+    pub(super) fn log_configured(&mut self, before: u64, source: &str, now: Timestamp) {
         let version = self.documents.deployment().version;
         let told = self.pulls.configured(version, now);
-        self.note(Note::Configured {
+        self.log(LogEvent::Configured {
             version,
             before,
             source: source.to_owned(),
@@ -206,13 +206,13 @@
             self.departed(life.clone(), source, now);
         }
         if let Some(before) = merged.deployment {
-            self.note_configured(before, source, now);
-            self.out.push(Action::Limits(self.documents.deployment().limits.clone()));
+            self.log_configured(before, source, now);
+            self.out.push(Action::SetCallerLimits(self.documents.deployment().limits.clone()));
         }
         for id in &merged.endpoints {
             let state = self.documents.state(id).as_str();
             let (endpoint, source) = (id.clone(), source.to_owned());
-            self.out.push(Action::Note(Note::Endpoint { endpoint, state, source }));
+            self.out.push(Action::Log(LogEvent::Endpoint { endpoint, state, source }));
         }
         if merged.is_empty() {
             return;
@@ -228,7 +228,7 @@
         }
         for id in &merged.restarted {
             let incarnation = self.documents.endpoint(id).map_or(0, |e| e.incarnation);
-            self.note(Note::Restarted { endpoint: id.clone(), incarnation });
+            self.log(LogEvent::Restarted { endpoint: id.clone(), incarnation });
         }
         // An entry that lapsed tells nothing new.
         let entered = merged.endpoints.iter().filter(|id| self.documents.is_listed(id));
@@ -236,7 +236,7 @@
         let entered: Vec<Arc<Endpoint>> = entered.cloned().collect();
         for endpoint in entered.iter().filter(|e| !e.cold.is_zero()) {
             let cold_ms = ms(endpoint.cold);
-            self.note(Note::Cold { endpoint: endpoint.id.clone(), cold_ms });
+            self.log(LogEvent::Cold { endpoint: endpoint.id.clone(), cold_ms });
         }
         self.requests.changed(&self.table, merged, &entered, now);
         self.owners.changed(&self.table, merged, &entered, now);
@@ -250,17 +250,17 @@
     pub(super) fn evacuations_published(
         &mut self,
         changes: &[Evacuation],
-        whole_at: Option<Position>,
+        snapshot_at: Option<Position>,
         now: Timestamp,
     ) {
         let mut evacuations = self.evacuations.clone();
-        match whole_at {
+        match snapshot_at {
             Some(at) => evacuations.merge(&Evacuations::read(changes, at)),
             None => changes.iter().for_each(|change| evacuations.change(change)),
         }
         for change in changes.iter().filter(|change| evacuations.left_out(change)) {
             let key = change.data_centre.to_string();
-            self.note(Note::Unreadable { key, cause: "too many orders to evacuate".to_owned() });
+            self.log(LogEvent::Unreadable { key, cause: "too many orders to evacuate".to_owned() });
         }
         if self.evacuations_merged(evacuations, PUBLISHER, now) {
             self.next_beat = Timestamp::ZERO;
@@ -305,7 +305,7 @@
         }
         for data_centre in &before ^ &standing {
             let there = self.documents.endpoints().filter(|e| e.data_centre == data_centre);
-            self.note(Note::Evacuation {
+            self.log(LogEvent::Evacuation {
                 stands: standing.contains(&data_centre),
                 endpoints: there.count(),
                 data_centre,
@@ -326,14 +326,14 @@
         let own = self.own();
         let due = self.pulls.due(own, &self.members, &mut self.rng, now);
         for peer in due.silent {
-            self.note_pull(peer, "silent");
+            self.log_pull(peer, "silent");
         }
         let seen = if own.complete { own.seen } else { Seen::default() };
         if let Some(peer) = due.list {
             self.tell(peer, PeerMessage::Pull { seen, configuration: false, number: 0 });
         }
         if let Some((peer, number)) = due.configuration {
-            self.note_pull(peer, "asked");
+            self.log_pull(peer, "asked");
             let (seen, configuration) = (own.seen, true);
             self.tell(peer, PeerMessage::Pull { seen, configuration, number });
         }
--- a/src/direct/published/mod.rs
+++ b/src/direct/published/mod.rs
@@ -1,6 +1,6 @@
 //! What operators and endpoints publish: kept as documents of a revision, compiled for decisions.
 //!
-//! `core` merges whatever comes from the store or from peers (`following`); everybody else only reads
+//! `core` merges whatever comes from the store or from peers (`publication`); everybody else only reads
 //! the `table`. Nothing here decides about a request.
 
 pub mod cells;
--- a/src/direct/limiting.rs
+++ b/src/direct/rate_limits.rs
@@ -10,7 +10,7 @@
 use crate::direct::limits::known::{Life, LimitTold};
 use crate::direct::limits::limiter::{Ask, Asker, Decided, Pace};
 use crate::direct::limits::permits::{Asked, Purpose, Wanted};
-use crate::direct::note::{Note, ms};
+use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::peers::members::{Member, SETTLED};
 use crate::direct::peers::message::PeerMessage;
 use crate::direct::published::model::Endpoint;
@@ -58,7 +58,7 @@
         let life = (account.endpoint.clone(), account.incarnation);
         let is_limited = self.limits.rate_of(&life, now).is_some();
         self.set_gate(&life, is_limited);
-        self.note(Note::Limit {
+        self.log(LogEvent::Limit {
             endpoint: account.endpoint.clone(),
             incarnation: account.incarnation,
             limit: match account.limit {
@@ -74,7 +74,7 @@
 
     fn set_gate(&mut self, (endpoint, incarnation): &Life, is_limited: bool) {
         let (endpoint, incarnation) = (endpoint.clone(), *incarnation);
-        self.out.push(Action::Limit { endpoint, incarnation, is_limited });
+        self.out.push(Action::RequirePermits { endpoint, incarnation, is_limited });
     }
 
     /// Requests and owners go by the same limits.
@@ -188,7 +188,7 @@
         let gives = |member: &Member| builds.gives_permits(member.address);
         let (limiter, settled) = self.members.limiter(&life.0, gives)?;
         let has_gathered = self.complete_since.is_some_and(|since| now >= since + GATHERING);
-        let has_settled = now >= settled && now >= self.went_on_at + SETTLED;
+        let has_settled = now >= settled && now >= self.resumed_at + SETTLED;
         let is_limiter = limiter == self.members.own().address && has_gathered && has_settled;
         is_limiter.then(|| Pace::new(rate, self.members.part_heard(gives, now)))
     }
@@ -220,7 +220,7 @@
         if !given {
             return self.refused(asked, retry_after, "busy", now);
         }
-        self.note_permit(&asked, true, None, "turn", now);
+        self.log_permit(&asked, true, None, "turn", now);
         let until = now + PERMIT_KEPT;
         let Wanted { endpoint, purpose, .. } = asked.wanted;
         match purpose {
@@ -234,7 +234,7 @@
     }
 
     fn refused(&mut self, asked: Asked, turn: Duration, cause: &'static str, now: Timestamp) {
-        self.note_permit(&asked, false, Some(turn), cause, now);
+        self.log_permit(&asked, false, Some(turn), cause, now);
         let at = now.saturating_add(turn);
         let Wanted { endpoint, purpose, priority, .. } = asked.wanted;
         match purpose {
@@ -254,7 +254,7 @@
         }
     }
 
-    fn note_permit(
+    fn log_permit(
         &mut self,
         asked: &Asked,
         given: bool,
@@ -267,7 +267,7 @@
             Purpose::Request { caller, .. } => self.requests.id_of(*caller),
             Purpose::Pieces | Purpose::Free => None,
         };
-        self.note(Note::Permit {
+        self.log(LogEvent::Permit {
             endpoint: endpoint.id.clone(),
             asked: purpose.as_str(),
             request,
--- a/src/direct/readiness.rs
+++ b/src/direct/readiness.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use crate::direct::core::GatewayCore;
-use crate::direct::event::{Action, Incoming};
-use crate::direct::note::{Note, ms};
+use crate::direct::event::{Action, IncomingRequest};
+use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::peers::members::MemberState;
 use crate::message::Timestamp;
 
@@ -31,7 +31,7 @@
 
     /// Whether a request can be decided: with a configuration, and with stages once the peers and the
     /// endpoints were heard. A process that stops waits for nothing.
-    pub(super) fn knows_enough(&self, incoming: &Incoming, now: Timestamp) -> bool {
+    pub(super) fn knows_enough(&self, incoming: &IncomingRequest, now: Timestamp) -> bool {
         let is_settled = |since: Timestamp| !incoming.has_pieces() || now >= since + self.settling;
         self.stop.is_some() || self.complete_since.is_some_and(is_settled)
     }
@@ -49,7 +49,7 @@
             let (caller, incoming) = (early.caller, early.incoming);
             let request = incoming.id.clone();
             let waited_ms = ms(now.saturating_sub(early.arrived));
-            self.note(Note::Waited { request, waited_ms, known });
+            self.log(LogEvent::Waited { request, waited_ms, known });
             self.requests.submit(caller, incoming, &self.table, known, early.arrived, now);
         }
     }
@@ -80,8 +80,8 @@
             if ready {
                 self.ask_reports(now);
             }
-            self.out.push(Action::Ready(ready));
-            self.note(Note::Ready { ready });
+            self.out.push(Action::SetReady(ready));
+            self.log(LogEvent::Ready { ready });
         }
     }
 
--- a/src/direct/requests/attempts.rs
+++ b/src/direct/requests/attempts.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
-use crate::direct::answers::{CallFailure, Proof};
-use crate::direct::event::{Action, CallOrder, Refused};
-use crate::direct::note::{Note, ms};
+use crate::direct::answers::{AnswerProof, CallFailure};
+use crate::direct::event::{Action, CallSpec, Refused};
+use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::poison::Unanswered;
 use crate::direct::published::model::{Endpoint, Name};
 use crate::direct::published::table::Table;
@@ -98,9 +98,9 @@
         self.observations.sent(&endpoint);
         self.ramps.sent(&endpoint, now);
         self.cold.sent(&endpoint, 1, now);
-        let order = CallOrder {
+        let order = CallSpec {
             endpoint,
-            allowed: request.deadline.saturating_sub(now),
+            timeout: request.deadline.saturating_sub(now),
             organisation: request.organisation.clone(),
             inputs: request.inputs().into_iter().map(|m| m.handle).collect(),
             after_event: request.last_event.clone(),
@@ -131,7 +131,7 @@
         &mut self,
         caller: u64,
         attempt: u64,
-        proof: Proof,
+        proof: AnswerProof,
         is_open: bool,
         table: &Table,
         now: Timestamp,
@@ -147,14 +147,14 @@
         };
         let endpoint = open.endpoint.clone();
         // A misdirected request was answered by another endpoint.
-        if let Some((running, waiting, _)) = proof.load.filter(|_| !proof.other_endpoint) {
+        if let Some((running, waiting, _)) = proof.load.filter(|_| !proof.from_other_endpoint) {
             self.observations.reported(&endpoint, running + waiting, now);
         }
-        if proof.not_run || proof.other_endpoint {
+        if proof.not_run || proof.from_other_endpoint {
             return self.not_run(caller, proof, table, now);
         }
         let is_success = (200..300).contains(&proof.status);
-        let is_whole = proof.own && (proof.signed || !is_success);
+        let is_whole = proof.names_request && (proof.signed || !is_success);
         if !is_whole {
             return self.may_have_run(caller, Failure::WrongAnswer, table, now);
         }
@@ -233,7 +233,7 @@
         if freed {
             self.fetches.missed(&request.pool);
         }
-        self.out.push(Action::Note(Note::ResultsGone {
+        self.out.push(Action::Log(LogEvent::ResultsGone {
             request: request.incoming.id.clone(),
             endpoint: attempt.endpoint.id.clone(),
             ordered_ms: ms(now.saturating_sub(attempt.ordered)),
@@ -252,12 +252,18 @@
     }
 
     /// The open attempt is proved not to have run.
-    pub(super) fn not_run(&mut self, caller: u64, proof: Proof, table: &Table, now: Timestamp) {
+    pub(super) fn not_run(
+        &mut self,
+        caller: u64,
+        proof: AnswerProof,
+        table: &Table,
+        now: Timestamp,
+    ) {
         let Some(attempt) = self.close_attempt(caller) else {
             return;
         };
         let endpoint = &attempt.endpoint;
-        if proof.other_endpoint {
+        if proof.from_other_endpoint {
             self.avoid(endpoint, "other endpoint", now);
         } else {
             self.observations.full(endpoint, now);
@@ -295,7 +301,7 @@
         let Some(attempt) = self.close_attempt(caller) else {
             return;
         };
-        self.out.push(Action::Hangup { caller, attempt: attempt.number });
+        self.out.push(Action::CancelAttempt { caller, attempt: attempt.number });
         if let Some(how) = failure.unanswered() {
             self.report_unanswered(caller, &attempt, how);
         }
@@ -365,7 +371,7 @@
         &mut self,
         caller: u64,
         attempt: u64,
-        whole: bool,
+        is_complete: bool,
         last_event: Option<String>,
         table: &Table,
         now: Timestamp,
@@ -373,15 +379,15 @@
         if !self.is_current(caller, attempt) {
             return;
         }
-        if whole {
+        if is_complete {
             self.learn(caller, true, now);
         }
         let Some(closed) = self.close_attempt(caller) else {
             return;
         };
-        if whole {
+        if is_complete {
             self.report_success(caller);
-            self.out.push(Action::Finish { caller });
+            self.out.push(Action::EndStream { caller });
             return self.end(caller, "streamed", Some(&closed.endpoint.id), now);
         }
         if self.observations.failed(&closed.endpoint, now) {
@@ -423,7 +429,7 @@
 
     pub(super) fn note_avoided(&mut self, endpoint: &Name, cause: &'static str) {
         let endpoint = endpoint.clone();
-        self.out.push(Action::Note(Note::Suspicion { endpoint, avoided: true, cause }));
+        self.out.push(Action::Log(LogEvent::Suspicion { endpoint, avoided: true, cause }));
     }
 
     pub(super) fn note_failure(
@@ -434,7 +440,7 @@
         next: &'static str,
     ) {
         if let Some(request) = self.requests.get(&caller) {
-            self.out.push(Action::Note(Note::AttemptFailed {
+            self.out.push(Action::Log(LogEvent::AttemptFailed {
                 request: request.incoming.id.clone(),
                 endpoint: attempt.endpoint.id.clone(),
                 failure,
--- a/src/direct/requests/dispatch.rs
+++ b/src/direct/requests/dispatch.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::direct::event::{Action, Refused};
-use crate::direct::note::{Note, ms};
+use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::published::table::Table;
 use crate::direct::requests::choice::Choice;
 use crate::direct::requests::{RETRY_SOON, Requests};
@@ -61,7 +61,7 @@
             return;
         };
         let selector = table.pool(&request.pool).map(|p| p.endpoints.to_string());
-        self.out.push(Action::Note(Note::Sent {
+        self.out.push(Action::Log(LogEvent::Sent {
             request: request.incoming.id.clone(),
             attempt: self.next_attempt + 1,
             selector: selector.unwrap_or_default(),
--- a/src/direct/requests/early.rs
+++ b/src/direct/requests/early.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use crate::direct::event::Incoming;
+use crate::direct::event::IncomingRequest;
 use crate::message::Timestamp;
 
 /// The longest wait for a configuration: it comes 10 to 20 ms after a process starts, and 40 to 60 callers
@@ -28,7 +28,7 @@
     /// Its caller.
     pub caller: u64,
     /// What is asked.
-    pub incoming: Incoming,
+    pub incoming: IncomingRequest,
     /// When it came.
     pub arrived: Timestamp,
     until: Timestamp,
@@ -47,8 +47,8 @@
     }
 
     /// Takes a request in.
-    pub fn add(&mut self, caller: u64, incoming: Incoming, now: Timestamp) {
-        let share = incoming.allowed.map_or(LONGEST, |allowed| allowed / SHARE_OF_TIME);
+    pub fn add(&mut self, caller: u64, incoming: IncomingRequest, now: Timestamp) {
+        let share = incoming.timeout.map_or(LONGEST, |allowed| allowed / SHARE_OF_TIME);
         let until = now + share.min(LONGEST);
         self.requests.push(Early { caller, incoming, arrived: now, until });
     }
@@ -59,7 +59,11 @@
     }
 
     /// Takes out those for which enough is known, and those whose wait is over.
-    pub fn take_due(&mut self, knows: impl Fn(&Incoming) -> bool, now: Timestamp) -> Vec<Early> {
+    pub fn take_due(
+        &mut self,
+        knows: impl Fn(&IncomingRequest) -> bool,
+        now: Timestamp,
+    ) -> Vec<Early> {
         let is_due = |early: &Early| early.until <= now || knows(&early.incoming);
         let (due, waiting) = std::mem::take(&mut self.requests).into_iter().partition(is_due);
         self.requests = waiting;
--- a/src/direct/requests/mod.rs
+++ b/src/direct/requests/mod.rs
@@ -36,10 +36,10 @@
 
 use crate::direct::backoff::Backoffs;
 use crate::direct::cold::ColdEndpoints;
-use crate::direct::event::{Action, Incoming, Refusal, Refused};
+use crate::direct::event::{Action, IncomingRequest, Refusal, Refused};
 use crate::direct::limits::known::KnownLimits;
 use crate::direct::limits::turns::Turns;
-use crate::direct::note::{Note, ms};
+use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::peers::members::Members;
 use crate::direct::peers::message::{JobId, PeerMessage};
 use crate::direct::poison::suspects::Suspects;
@@ -113,7 +113,7 @@
     /// How late this process handles its events.
     pub(super) lateness: Duration,
     /// When this process last went on after it had stood still: times that began before are no experience.
-    pub(super) went_on_at: Timestamp,
+    pub(super) resumed_at: Timestamp,
     /// Other gateways that told that they are late.
     pub(super) late_owners: HashMap<SocketAddr, patience::Told>,
     /// Contents under which endpoints crashed.
@@ -153,7 +153,7 @@
             owners: KnownOwners::default(),
             short_cells: HashMap::new(),
             lateness: Duration::ZERO,
-            went_on_at: Timestamp::ZERO,
+            resumed_at: Timestamp::ZERO,
             late_owners: HashMap::new(),
             suspects: Arc::default(),
             next_attempt: 0,
@@ -220,7 +220,7 @@
     pub fn submit(
         &mut self,
         caller: u64,
-        incoming: Incoming,
+        incoming: IncomingRequest,
         table: &Table,
         known: bool,
         arrived: Timestamp,
@@ -241,7 +241,7 @@
         if let Some(retry_after) = self.too_late_for(&request, now) {
             return self.refuse_too_late(caller, &request, retry_after);
         }
-        self.out.push(Action::Note(Note::Arrived {
+        self.out.push(Action::Log(LogEvent::Arrived {
             request: id,
             route: request.route.name.clone(),
             organisation: request.organisation.clone(),
@@ -265,12 +265,12 @@
     pub(super) fn begin(
         &self,
         caller: u64,
-        incoming: Incoming,
+        incoming: IncomingRequest,
         route: &Route,
         organisation: Option<&Organisation>,
         arrived: Timestamp,
     ) -> Request {
-        let allowed = incoming.allowed.unwrap_or(DEFAULT_ALLOWED).min(route.timeout);
+        let allowed = incoming.timeout.unwrap_or(DEFAULT_ALLOWED).min(route.timeout);
         let stages = route.stages.len();
         let priority = organisation.and_then(|o| o.priority).unwrap_or(route.priority);
         let homes = organisation.map_or(&[][..], |o| &o.homes);
@@ -313,7 +313,7 @@
 
     /// Refuses a request that was not begun.
     fn refuse_with(&mut self, caller: u64, id: &Name, reason: Refused, retry_after: Duration) {
-        self.out.push(Action::Note(Note::Ended {
+        self.out.push(Action::Log(LogEvent::Ended {
             request: id.clone(),
             outcome: format!("refused: {reason:?}"),
             endpoint: None,
@@ -328,7 +328,7 @@
     pub fn caller_gone(&mut self, caller: u64, now: Timestamp) {
         self.learn(caller, false, now);
         self.hang_up(caller);
-        self.out.push(Action::Abort { caller });
+        self.out.push(Action::AbortStream { caller });
         self.end(caller, "caller gone", None, now);
     }
 
@@ -351,8 +351,8 @@
 
     /// This process stood still until now: what became due meanwhile is looked at once the answers are read that
     /// came meanwhile.
-    pub fn stood_still(&mut self, now: Timestamp) {
-        self.went_on_at = now;
+    pub fn on_suspension(&mut self, now: Timestamp) {
+        self.resumed_at = now;
         let later = self.timers.split_off(&(now, 0, Timer::Deadline));
         let due = std::mem::replace(&mut self.timers, later).into_iter();
         self.timers.extend(due.map(|(_, caller, timer)| (now + READ_FIRST, caller, timer)));
@@ -360,7 +360,7 @@
 
     /// How long something took that began at a time, if this process could hear of its end all the while.
     pub(super) fn took(&self, since: Timestamp, now: Timestamp) -> Option<Duration> {
-        (since >= self.went_on_at).then(|| now.saturating_sub(since))
+        (since >= self.resumed_at).then(|| now.saturating_sub(since))
     }
 
     pub(super) fn time_out(&mut self, caller: u64, now: Timestamp) {
@@ -377,7 +377,7 @@
 
     pub(super) fn abort(&mut self, caller: u64, why: &str, now: Timestamp) {
         self.hang_up(caller);
-        self.out.push(Action::Abort { caller });
+        self.out.push(Action::AbortStream { caller });
         self.end(caller, &format!("broken off: {why}"), None, now);
     }
 
@@ -428,7 +428,7 @@
         };
         self.by_job.remove(&request.job);
         self.timers.remove(&(request.deadline, caller, Timer::Deadline));
-        self.out.push(Action::Note(Note::Ended {
+        self.out.push(Action::Log(LogEvent::Ended {
             request: request.incoming.id.clone(),
             outcome,
             endpoint: endpoint.or_else(|| request.tried.last().cloned()),
@@ -448,7 +448,7 @@
         let job = request.job;
         let owners = request.owners();
         for to in owners {
-            self.out.push(Action::Tell { to, message: PeerMessage::Release(job) });
+            self.out.push(Action::Send { to, message: PeerMessage::Release(job) });
         }
     }
 }
@@ -465,7 +465,7 @@
 
 /// Checks a request against what is published; nothing of a refused one has run.
 fn admissible<'a>(
-    incoming: &Incoming,
+    incoming: &IncomingRequest,
     table: &'a Table,
     known: bool,
 ) -> Result<Admissible<'a>, Refused> {
--- a/src/direct/requests/permits.rs
+++ b/src/direct/requests/permits.rs
@@ -64,7 +64,7 @@
         let priority = request.priority;
         request.permit = Some(Awaited { number, because, candidates, endpoint: endpoint.clone() });
         let purpose = Purpose::Request { caller, number };
-        self.out.push(Action::AskPermit(Wanted { endpoint, purpose, priority, wait }));
+        self.out.push(Action::RequestPermit(Wanted { endpoint, purpose, priority, wait }));
     }
 
     fn take_awaited(&mut self, caller: u64, number: u64) -> Option<Awaited> {
--- a/src/direct/requests/poison.rs
+++ b/src/direct/requests/poison.rs
@@ -28,7 +28,7 @@
         request: &Request,
         part: Fingerprint,
     ) {
-        self.out.push(Action::Poison(Report::Refused(part)));
+        self.out.push(Action::PoisonReport(Report::Refused(part)));
         self.refuse_with(caller, &request.incoming.id, Refused::Poison, KEPT);
     }
 
@@ -38,7 +38,7 @@
         let Some(part) = part else {
             return false;
         };
-        self.out.push(Action::Poison(Report::Refused(part)));
+        self.out.push(Action::PoisonReport(Report::Refused(part)));
         self.refuse(caller, Refused::Poison, KEPT, now);
         true
     }
@@ -77,7 +77,7 @@
         };
         let Request { fingerprint, round, .. } = *request;
         let run = Run { fingerprint, round, alone: true };
-        self.out.push(Action::Poison(Report::Unanswered {
+        self.out.push(Action::PoisonReport(Report::Unanswered {
             endpoint: attempt.endpoint.clone(),
             runs: vec![run],
             how,
@@ -87,7 +87,7 @@
     /// Gives up the call that is open, if there is one.
     pub(super) fn hang_up(&mut self, caller: u64) {
         if let Some(attempt) = self.close_attempt(caller) {
-            self.out.push(Action::Hangup { caller, attempt: attempt.number });
+            self.out.push(Action::CancelAttempt { caller, attempt: attempt.number });
             self.report_unanswered(caller, &attempt, Unanswered::GivenUp);
         }
     }
@@ -95,7 +95,7 @@
     /// A request ran to its end.
     pub(super) fn report_success(&mut self, caller: u64) {
         if let Some(request) = self.requests.get(&caller) {
-            self.out.push(Action::Poison(Report::Succeeded(request.fingerprint)));
+            self.out.push(Action::PoisonReport(Report::Succeeded(request.fingerprint)));
         }
     }
 }
--- a/src/direct/requests/request.rs
+++ b/src/direct/requests/request.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::direct::event::Incoming;
+use crate::direct::event::IncomingRequest;
 use crate::direct::peers::message::{JobId, Made};
 use crate::direct::poison::fingerprint::Fingerprint;
 use crate::direct::published::homes::Homes;
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone)]
 pub struct Request {
     /// What was asked.
-    pub incoming: Incoming,
+    pub incoming: IncomingRequest,
     /// Its route, as it stood when the request came.
     pub route: Route,
     /// The pool that runs it.
--- a/src/direct/requests/stages.rs
+++ b/src/direct/requests/stages.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::direct::event::{Action, Refused};
-use crate::direct::note::Note;
+use crate::direct::log_events::LogEvent;
 use crate::direct::peers::members::Members;
 use crate::direct::peers::message::{Job, JobId, JobReason, JobStage, Made, PeerMessage};
 use crate::direct::published::model::Name;
@@ -83,14 +83,14 @@
         self.by_job.insert(request.job, caller);
         let timer = Timer::Owner(tried as u32);
         self.timers.insert((now + OWNER_PATIENCE, caller, timer));
-        self.out.push(Action::Note(Note::StagesSubmitted {
+        self.out.push(Action::Log(LogEvent::StagesSubmitted {
             request: request.incoming.id.clone(),
             owner: owner.address,
             cell,
             resubmitted,
         }));
         let message = PeerMessage::Submit(Box::new(job));
-        self.out.push(Action::Tell { to: owner.address, message });
+        self.out.push(Action::Send { to: owner.address, message });
     }
 
     /// What was on the way to or from this owner may be lost: the jobs that it has are submitted
@@ -110,7 +110,7 @@
         };
         let job = job_of(request, true, data_centre, now);
         let message = PeerMessage::Submit(Box::new(job));
-        self.out.push(Action::Tell { to: owner, message });
+        self.out.push(Action::Send { to: owner, message });
     }
 
     /// The request of a job, if this owner is the one that has it now.
@@ -128,7 +128,7 @@
                 *accepted = true;
             }
         } else {
-            self.out.push(Action::Tell { to: from, message: PeerMessage::Release(job) });
+            self.out.push(Action::Send { to: from, message: PeerMessage::Release(job) });
         }
     }
 
@@ -148,7 +148,7 @@
         };
         if !request.has_all_results() {
             // A message was lost on the way: the next owner goes on with what is there.
-            self.out.push(Action::Tell { to: from, message: PeerMessage::Release(job) });
+            self.out.push(Action::Send { to: from, message: PeerMessage::Release(job) });
             return self.pass_over(caller, from);
         }
         request.phase = Phase::Running;
@@ -176,8 +176,10 @@
         if untouched && request.results.iter().all(Vec::is_empty) {
             request.holds_results = false;
         }
-        self.out
-            .push(Action::Note(Note::StagesGivenUp { request: id, reason: format!("{reason:?}") }));
+        self.out.push(Action::Log(LogEvent::StagesGivenUp {
+            request: id,
+            reason: format!("{reason:?}"),
+        }));
         if untouched && self.goes_to_another_cell(caller, reason, retry_after, table, now) {
             return self.to_submit.push(caller);
         }
@@ -235,7 +237,7 @@
             return;
         }
         let message = PeerMessage::Release(request.job);
-        self.out.push(Action::Tell { to: owner, message });
+        self.out.push(Action::Send { to: owner, message });
         self.pass_over(caller, owner);
     }
 }
--- a/src/direct/requests/stopping.rs
+++ b/src/direct/requests/stopping.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::direct::event::{Action, Refused};
-use crate::direct::note::{Note, ms};
+use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::published::model::Name;
 use crate::direct::requests::Requests;
 use crate::direct::requests::experience::{Part, Sure, must_be};
@@ -87,7 +87,7 @@
 
     /// Whether the answer of a request will be whole before the process ends: its time is over by
     /// then, or by experience it takes less.
-    fn can_end(&self, request: &Request, at: At, now: Timestamp) -> (bool, Option<Note>) {
+    fn can_end(&self, request: &Request, at: At, now: Timestamp) -> (bool, Option<LogEvent>) {
         let Some(Stopping { stop, others_serve, .. }) = self.stopping else {
             return (true, None);
         };
@@ -104,9 +104,9 @@
             At::Stages | At::Dispatch => stop.is_before_end(now + expected),
         };
         let is_told = at == At::Door || !taken;
-        let note =
+        let event =
             is_told.then(|| self.decided(&request.incoming.id, at, taken, Some(expected), now));
-        (taken, note.flatten())
+        (taken, event.flatten())
     }
 
     /// What the stages of a request that waits for them usually still take.
@@ -125,9 +125,9 @@
         taken: bool,
         expected: Option<Duration>,
         now: Timestamp,
-    ) -> Option<Note> {
+    ) -> Option<LogEvent> {
         let Stopping { stop, others_serve, .. } = self.stopping?;
-        Some(Note::StopDecided {
+        Some(LogEvent::StopDecided {
             request: request.clone(),
             at: at.as_str(),
             taken,
@@ -140,8 +140,8 @@
 
     /// Whether a new request is taken, as far as the process's own end goes.
     pub(super) fn is_taken(&mut self, request: &Request, now: Timestamp) -> bool {
-        let (taken, note) = self.can_end(request, At::Door, now);
-        self.out.extend(note.map(Action::Note));
+        let (taken, event) = self.can_end(request, At::Door, now);
+        self.out.extend(event.map(Action::Log));
         taken
     }
 
@@ -153,8 +153,8 @@
         let Some(request) = self.requests.get(&caller) else {
             return false;
         };
-        let (taken, note) = self.can_end(request, At::Dispatch, now);
-        self.out.extend(note.map(Action::Note));
+        let (taken, event) = self.can_end(request, At::Dispatch, now);
+        self.out.extend(event.map(Action::Log));
         if !taken {
             self.refuse(caller, Refused::Draining, self.elsewhere(), now);
         }
@@ -163,8 +163,8 @@
 
     /// A request that is turned away unseen.
     pub(super) fn note_closed(&mut self, request: &Name, now: Timestamp) {
-        let note = self.decided(request, At::Door, false, None, now);
-        self.out.extend(note.map(Action::Note));
+        let event = self.decided(request, At::Door, false, None, now);
+        self.out.extend(event.map(Action::Log));
     }
 
     /// Whether the stages of a route are made before the process ends, by all experience.
@@ -186,8 +186,8 @@
         let waiting = waiting.filter_map(|caller| Some((caller, self.requests.get(&caller)?)));
         let decided = waiting.map(|(caller, r)| (caller, self.can_end(r, At::Stages, now)));
         let too_late: Vec<_> = decided.filter(|(_, (can_end, _))| !can_end).collect();
-        for (caller, (_, note)) in too_late {
-            self.out.extend(note.map(Action::Note));
+        for (caller, (_, event)) in too_late {
+            self.out.extend(event.map(Action::Log));
             self.refuse(caller, Refused::Draining, self.elsewhere(), now);
         }
     }
--- a/src/direct/shell.rs
+++ b/src/direct/shell.rs
@@ -19,9 +19,9 @@
 use crate::direct::answers::{BatchOutcome, CallFailure};
 use crate::direct::client::{Answer, AnswerBody, AnswerHead, EndpointClient, Exchange, Forwarded};
 use crate::direct::core::GatewayCore;
-use crate::direct::event::{Action, CallOrder, Event, Incoming, PieceOrder, Refusal};
+use crate::direct::event::{Action, CallSpec, Event, IncomingRequest, PieceSpec, Refusal};
 use crate::direct::gates::Gates;
-use crate::direct::note::{Note, ms};
+use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::peers::links::Peers;
 use crate::direct::published::model::{CallerLimits, Endpoint};
 use crate::direct::statement::{Asked, Statement};
@@ -79,7 +79,7 @@
 impl Drop for Guard {
     fn drop(&mut self) {
         if let Some(core) = self.core.take() {
-            core.post(Event::CallerGone { caller: self.caller }, &self.runtime);
+            core.post(Event::CallerDisconnected { caller: self.caller }, &self.runtime);
         }
     }
 }
@@ -124,7 +124,7 @@
     }
 
     /// Asks, and waits for the answer; dropping this ends the request.
-    pub async fn submit(&self, incoming: Incoming, request: Forwarded) -> Option<Reply> {
+    pub async fn submit(&self, incoming: IncomingRequest, request: Forwarded) -> Option<Reply> {
         let caller = self.next.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = oneshot::channel();
         let entry = Caller {
@@ -213,12 +213,12 @@
         }
         let (endpoint, asked, at) = (self.endpoint.clone(), self.asked, self.core.now());
         let sent = self.sent.unwrap_or(Timestamp::ZERO);
-        let event = Event::Stated { endpoint, asked, statement, sent, at };
+        let event = Event::EndpointStatus { endpoint, asked, statement, sent, at };
         self.core.post(event, &Runtime::current());
     }
 
     fn passes_over(&mut self, fields: BTreeSet<String>) {
-        let event = Event::PassedOver { document: ENDPOINT_ANSWER, fields };
+        let event = Event::UnknownFields { document: ENDPOINT_ANSWER, fields };
         self.core.post(event, &Runtime::current());
     }
 }
@@ -265,18 +265,18 @@
         Conversation { core, endpoint, asked, gates, permit, sent: None, awaited: None }
     }
 
-    fn call(&self, caller: u64, attempt: u64, order: CallOrder) {
+    fn call(&self, caller: u64, attempt: u64, order: CallSpec) {
         let mut callers = lock(&self.callers);
         let Some(entry) = callers.get_mut(&caller) else {
             return;
         };
         let request = entry.request.clone();
         let (core, client, parked) = (self.core.clone(), self.client.clone(), self.callers.clone());
-        let allowed = order.allowed;
+        let timeout = order.timeout;
         let mut exchange = self.conversation(&order.endpoint, Asked::Request, order.permit);
         exchange.awaited = (!order.inputs.is_empty()).then_some((caller, attempt));
         let task = tokio::spawn(async move {
-            let called = tokio::time::timeout(allowed, client.call(order, request, exchange)).await;
+            let called = tokio::time::timeout(timeout, client.call(order, request, exchange)).await;
             let event = match called.unwrap_or(Err(CallFailure::Silent)) {
                 Ok(answer) => {
                     let proof = answer.proof;
@@ -351,7 +351,7 @@
         &self,
         call: u64,
         endpoint: Arc<Endpoint>,
-        pieces: Vec<PieceOrder>,
+        pieces: Vec<PieceSpec>,
         patience: Duration,
         permit: Option<Timestamp>,
     ) {
@@ -369,10 +369,10 @@
         let (core, client) = (self.core.clone(), self.client.clone());
         let exchange = self.conversation(&endpoint, Asked::Report, None);
         tokio::spawn(async move {
-            let (id, asked) = (endpoint.id.clone(), core.now());
+            let (id, requested_at) = (endpoint.id.clone(), core.now());
             let event = match client.report(endpoint, exchange).await {
-                Some(report) => Event::Reported { endpoint: id, report, asked },
-                None => Event::NoReport { endpoint: id },
+                Some(report) => Event::ReportReceived { endpoint: id, report, requested_at },
+                None => Event::ReportFailed { endpoint: id },
             };
             core.send(event).await.ok();
         });
@@ -387,9 +387,9 @@
         });
     }
 
-    fn write(&self, note: &Note) {
-        crate::metrics::noted(note);
-        self.lines.write(note);
+    fn write(&self, event: &LogEvent) {
+        crate::metrics::log_event(event);
+        self.lines.write(event);
     }
 }
 
@@ -403,7 +403,7 @@
 ) {
     let mut splitter = EventSplitter::default();
     let mut is_first = true;
-    let whole = loop {
+    let is_complete = loop {
         match body.frame().await {
             None => break splitter.is_at_boundary(),
             Some(Err(_)) => break false,
@@ -428,43 +428,43 @@
     };
     drop(events);
     let last_event = splitter.last_id().map(ToOwned::to_owned);
-    core.send(Event::StreamEnded { caller, attempt, whole, last_event }).await.ok();
+    core.send(Event::StreamEnded { caller, attempt, is_complete, last_event }).await.ok();
 }
 
 impl<C: EndpointClient> Shell<GatewayCore> for GatewayShell<C> {
     fn act(&mut self, action: Action, _core: &GatewayCore) {
         match action {
             Action::Call { caller, attempt, order } => self.call(caller, attempt, order),
-            Action::Hangup { caller, attempt } => self.hang_up(caller, attempt),
+            Action::CancelAttempt { caller, attempt } => self.hang_up(caller, attempt),
             Action::Deliver { caller, attempt } => self.deliver(caller, attempt),
             Action::Refuse { caller, refusal } => self.end(caller, Some(refusal), false),
-            Action::Finish { caller } => self.end(caller, None, true),
-            Action::Abort { caller } => self.end(caller, None, false),
-            Action::Batch { call, endpoint, pieces, timeout, permit } => {
+            Action::EndStream { caller } => self.end(caller, None, true),
+            Action::AbortStream { caller } => self.end(caller, None, false),
+            Action::CallBatch { call, endpoint, pieces, timeout, permit } => {
                 self.batch(call, endpoint, pieces, timeout, permit);
             }
-            Action::Free { endpoint, handles, permit } => {
+            Action::FreeResults { endpoint, handles, permit } => {
                 let client = self.client.clone();
                 let exchange = self.conversation(&endpoint, Asked::Free, permit);
                 tokio::spawn(async move { client.free(endpoint, handles, exchange).await });
             }
-            Action::Withhold { endpoint, incarnation, until } => {
+            Action::BlockSends { endpoint, incarnation, until } => {
                 self.gates.close(endpoint, incarnation, until, self.core.now());
             }
-            Action::Limit { endpoint, incarnation, is_limited } => {
+            Action::RequirePermits { endpoint, incarnation, is_limited } => {
                 self.gates.limit(endpoint, incarnation, is_limited, self.core.now());
             }
-            Action::AskReport(endpoint) => self.ask_report(endpoint),
+            Action::RequestReport(endpoint) => self.ask_report(endpoint),
             Action::Probe(endpoint) => self.probe(endpoint),
             // The core takes these in before it hands its actions out.
-            Action::Poison(_) | Action::AskPermit(_) => {}
-            Action::Tell { to, message } => self.peers.tell(to, message),
-            Action::Spread { to, message } => self.peers.spread(&to, message),
+            Action::PoisonReport(_) | Action::RequestPermit(_) => {}
+            Action::Send { to, message } => self.peers.tell(to, message),
+            Action::Broadcast { to, message } => self.peers.spread(&to, message),
             Action::Disconnect { from } => self.peers.disconnect(from),
-            Action::Ready(ready) => self.state.send_modify(|s| s.ready = ready),
-            Action::StoreEra(era) => self.state.send_modify(|s| s.store_era = era),
-            Action::Limits(limits) => self.state.send_modify(|s| s.limits = limits),
-            Action::Note(note) => self.write(&note),
+            Action::SetReady(ready) => self.state.send_modify(|s| s.ready = ready),
+            Action::SetStoreEra(era) => self.state.send_modify(|s| s.store_era = era),
+            Action::SetCallerLimits(limits) => self.state.send_modify(|s| s.limits = limits),
+            Action::Log(event) => self.write(&event),
         }
     }
 
@@ -474,6 +474,6 @@
             return;
         }
         self.late_told = Some(Instant::now());
-        self.write(&Note::CoreLate { waited_ms: ms(waited), took_ms: ms(took) });
+        self.write(&LogEvent::CoreLate { waited_ms: ms(waited), took_ms: ms(took) });
     }
 }
--- a/src/direct/returning.rs
+++ b/src/direct/store_restore.rs
@@ -7,7 +7,7 @@
 
 use crate::direct::core::GatewayCore;
 use crate::direct::event::Action;
-use crate::direct::note::{Note, PublishedVersion, StoreEra, StoreReturned};
+use crate::direct::log_events::{LogEvent, PublishedVersion, StoreEra, StoreReturned};
 use crate::direct::published::documents::{Document, Merged, Revised};
 use crate::direct::published::model::Name;
 use crate::direct::published::position::Position;
@@ -23,11 +23,11 @@
             return;
         };
         crate::metrics::store_era(era);
-        self.out.push(Action::StoreEra(era));
+        self.out.push(Action::SetStoreEra(era));
         if let Some(before) = new.before {
             let revision_before = self.documents.seen().endpoints.revision;
             let source = source.to_owned();
-            self.note(Note::StoreEra(StoreEra { before, revision_before, era, source }));
+            self.log(LogEvent::StoreEra(StoreEra { before, revision_before, era, source }));
             self.next_beat = Timestamp::ZERO;
         }
     }
@@ -51,17 +51,17 @@
         let is_first = before == Position::default();
         let merged = self.documents.merge_list(documents, at, now);
         if before.era < at.era && !is_first {
-            self.note_returned(before, at, &merged, source);
+            self.log_returned(before, at, &merged, source);
         } else if at < before {
-            self.note(Note::StoreWentBack { revision: at.revision, seen: before.revision });
+            self.log(LogEvent::StoreWentBack { revision: at.revision, seen: before.revision });
         }
         merged
     }
 
-    fn note_returned(&mut self, before: Position, at: Position, merged: &Merged, source: &str) {
+    fn log_returned(&mut self, before: Position, at: Position, merged: &Merged, source: &str) {
         let some = |names: &[Name]| names.iter().take(MOST_NAMED).cloned().collect::<Vec<_>>();
         let leaving = merged.leaving_on.iter().map(|life| life.endpoint.clone());
-        self.note(Note::StoreReturned(StoreReturned {
+        self.log(LogEvent::StoreReturned(StoreReturned {
             before: before.era,
             revision_before: before.revision,
             era: at.era,
@@ -87,7 +87,7 @@
         let is_older = published < in_force;
         if is_older || self.published_older {
             let line = PublishedVersion { published, in_force, is_older };
-            self.note(Note::PublishedVersion(line));
+            self.log(LogEvent::PublishedVersion(line));
         }
         self.published_older = is_older;
     }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -4,7 +4,7 @@
 
 use metrics::{counter, describe_counter, describe_gauge, describe_histogram, gauge, histogram};
 
-use crate::direct::note::Note;
+use crate::direct::log_events::LogEvent;
 use crate::direct::peers::build::Build;
 use crate::direct::statement::Asked;
 use crate::message::Ran;
@@ -243,25 +243,25 @@
 }
 
 /// Counts a decision or change of belief, and what it measured.
-pub fn noted(note: &Note) {
-    counter!(DECISIONS, "kind" => note.kind()).increment(1);
-    match note {
-        Note::Ended { took_ms, .. } => histogram!(LATENCY).record(*took_ms as f64 / 1_000.0),
-        Note::BatchEnded { took_ms, .. } => {
+pub fn log_event(event: &LogEvent) {
+    counter!(DECISIONS, "kind" => event.kind()).increment(1);
+    match event {
+        LogEvent::Ended { took_ms, .. } => histogram!(LATENCY).record(*took_ms as f64 / 1_000.0),
+        LogEvent::BatchEnded { took_ms, .. } => {
             histogram!(BATCH_SECONDS).record(*took_ms as f64 / 1_000.0);
         }
-        Note::BatchSent { pieces, .. } => histogram!(BATCH_PIECES).record(pieces.len() as f64),
-        Note::StopDecided { at, taken, .. } => {
+        LogEvent::BatchSent { pieces, .. } => histogram!(BATCH_PIECES).record(pieces.len() as f64),
+        LogEvent::StopDecided { at, taken, .. } => {
             let taken = if *taken { "true" } else { "false" };
             counter!(STOP_DECIDED, "at" => *at, "taken" => taken).increment(1);
         }
-        Note::Stopped { unanswered, streams, .. } => {
+        LogEvent::Stopped { unanswered, streams, .. } => {
             counter!(CUT_BY_STOP, "what" => "unanswered").increment(*unanswered as u64);
             counter!(CUT_BY_STOP, "what" => "stream").increment(*streams as u64);
         }
-        Note::Evacuation { stands: true, .. } => gauge!(EVACUATED).increment(1.0),
-        Note::Evacuation { stands: false, .. } => gauge!(EVACUATED).decrement(1.0),
-        Note::Configured { version, .. } => gauge!(CONFIG_VERSION).set(*version as f64),
+        LogEvent::Evacuation { stands: true, .. } => gauge!(EVACUATED).increment(1.0),
+        LogEvent::Evacuation { stands: false, .. } => gauge!(EVACUATED).decrement(1.0),
+        LogEvent::Configured { version, .. } => gauge!(CONFIG_VERSION).set(*version as f64),
         _ => {}
     }
 }
--- a/testbed/src/owner_load.rs
+++ b/testbed/src/owner_load.rs
@@ -267,11 +267,11 @@
     fn act(&mut self, actions: Vec<Action>, now: Duration) {
         for action in actions {
             match action {
-                Action::Batch { call, pieces, .. } => {
+                Action::CallBatch { call, pieces, .. } => {
                     let (outcome, took) = self.outcome(call, pieces.len());
                     self.at(now + took, Happening::Ended(call, outcome));
                 }
-                Action::Tell { message: PeerMessage::Ready(job), .. } => {
+                Action::Send { message: PeerMessage::Ready(job), .. } => {
                     self.cost.served += 1;
                     self.at(now + HANDED_ON, Happening::Release(job));
                 }
--- a/tests/direct_backoff.rs
+++ b/tests/direct_backoff.rs
@@ -11,10 +11,10 @@
 };
 use directenv::{address, ms};
 use stackmast::actor::Core;
-use stackmast::direct::answers::{CallFailure, Proof};
+use stackmast::direct::answers::{AnswerProof, CallFailure};
 use stackmast::direct::backoff::Backoffs;
 use stackmast::direct::event::{Action, Event, Refused};
-use stackmast::direct::note::Note;
+use stackmast::direct::log_events::LogEvent;
 use stackmast::direct::statement::{Asked, Backoff};
 use test_case::test_case;
 
@@ -25,7 +25,7 @@
     let actions = says(&mut core, &engine(1), pause_for(ms(3 * SECONDS)), 10);
     let is_told = |a: &Action| {
         let paused = |ms: u64| (3_000..=3_750).contains(&ms);
-        matches!(a, Action::Note(Note::Stated { paused_ms: Some(ms), .. }) if paused(*ms))
+        matches!(a, Action::Log(LogEvent::EndpointStatus { paused_ms: Some(ms), .. }) if paused(*ms))
     };
     assert!(actions.iter().any(is_told));
     for at in [20, 1_000, 3_009] {
@@ -78,7 +78,7 @@
     let statement = pause_for(ms(2 * SECONDS));
     let (endpoint, asked) = (engine(1), Asked::Request);
     // The core was late by a second.
-    let event = Event::Stated { endpoint, asked, statement, sent: ms(90), at: ms(100) };
+    let event = Event::EndpointStatus { endpoint, asked, statement, sent: ms(90), at: ms(100) };
     core.handle(event, ms(1_100));
     assert!(!gets_any(&mut core, "engine-1", 100, 2_099));
     assert!(gets_any(&mut core, "engine-1", 200, 2_601));
@@ -163,7 +163,7 @@
         let actions = submit(&mut core, caller, incoming("r", Vec::new()), ms(at));
         let (attempt, order) = calls(&actions)[0].clone();
         says(&mut core, &order.endpoint, pause_for(ms(3 * SECONDS)), at + 2);
-        let proof = Proof { status: 503, not_run: true, ..Proof::default() };
+        let proof = AnswerProof { status: 503, not_run: true, ..AnswerProof::default() };
         let refused =
             core.handle(Event::Answered { caller, attempt, proof, is_open: false }, ms(at + 2));
         let refusal = refusal(&refused).expect("there is no other");
@@ -183,14 +183,17 @@
         core.handle(Event::Answered { caller: 1, attempt, proof: good(), is_open: true }, ms(5));
         says(&mut core, &other, LEAVES, 10);
         let last_event = Some("3".to_owned());
-        core.handle(Event::StreamEnded { caller: 1, attempt, whole: false, last_event }, ms(20))
+        core.handle(
+            Event::StreamEnded { caller: 1, attempt, is_complete: false, last_event },
+            ms(20),
+        )
     } else {
         says(&mut core, &other, pause_for(ms(3 * SECONDS)), 10);
         let failure = CallFailure::Broken;
         core.handle(Event::CallFailed { caller: 1, attempt, failure }, ms(20))
     };
     assert!(calls(&failed).is_empty(), "there is no other");
-    let is_over = |a: &Action| matches!(a, Action::Abort { .. } | Action::Refuse { .. });
+    let is_over = |a: &Action| matches!(a, Action::AbortStream { .. } | Action::Refuse { .. });
     assert!(failed.iter().any(is_over));
 }
 
@@ -200,13 +203,13 @@
     let actions = submit(&mut core, 1, incoming("r", Vec::new()), ms(0));
     let (attempt, order) = calls(&actions)[0].clone();
     let actions = says(&mut core, &order.endpoint, pause_for(ms(SECONDS)), 10);
-    let withheld = |a: &Action| matches!(a, Action::Withhold { until: Some(_), .. });
+    let withheld = |a: &Action| matches!(a, Action::BlockSends { until: Some(_), .. });
     assert!(actions.iter().any(withheld));
     let failure = CallFailure::Withheld;
     let actions = core.handle(Event::CallFailed { caller: 1, attempt, failure }, ms(20));
     assert_eq!(calls(&actions).len(), 1);
     assert_ne!(calls(&actions)[0].1.endpoint.id, order.endpoint.id);
-    assert!(!actions.iter().any(|a| matches!(a, Action::Note(Note::Suspicion { .. }))));
+    assert!(!actions.iter().any(|a| matches!(a, Action::Log(LogEvent::Suspicion { .. }))));
 }
 
 #[test]
--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -148,14 +148,14 @@
         let now = ms(300 * step);
         for action in owners.actions(&table, now) {
             match action {
-                Action::Batch { call, endpoint, pieces, .. } => {
+                Action::CallBatch { call, endpoint, pieces, .. } => {
                     let expected = if &*pieces[0].request == "request-1" { "dc-1" } else { "dc-2" };
                     assert_eq!(&*endpoint.data_centre, expected);
                     let made = (0..pieces.len()).map(|i| PieceOutcome::Made(format!("{i}").into()));
                     let outcome = BatchOutcome::Pieces(made.collect());
                     owners.batch_ended(call, outcome, &table, now + ms(260));
                 }
-                Action::Tell { message: PeerMessage::Ready(id), .. } => {
+                Action::Send { message: PeerMessage::Ready(id), .. } => {
                     ready.insert(id);
                 }
                 _ => {}
@@ -176,7 +176,7 @@
         .into_iter()
         .map(|e| Revised { position: position(3), made: 0, document: Document::Endpoint(e) })
         .collect();
-    core.handle(Event::Published { documents, whole_at: None }, ms(0));
+    core.handle(Event::Published { documents, snapshot_at: None }, ms(0));
     let strong = (2..=9).map(|port| Member { capacity: 9_000, ..serving(port) }).collect();
     hear_of(&mut core, strong, ms(0));
     core
@@ -184,7 +184,7 @@
 
 fn submitted(actions: &[Action]) -> Vec<(std::net::SocketAddr, Job)> {
     let submitted = actions.iter().filter_map(|a| match a {
-        Action::Tell { to, message: PeerMessage::Submit(job) } => Some((*to, Job::clone(job))),
+        Action::Send { to, message: PeerMessage::Submit(job) } => Some((*to, Job::clone(job))),
         _ => None,
     });
     submitted.collect()
@@ -193,7 +193,7 @@
 fn refuse(core: &mut GatewayCore, from: std::net::SocketAddr, job: &Job, at: u64) -> Vec<Action> {
     let (reason, retry_after) = (JobReason::NoRoom, ms(300));
     let message = PeerMessage::GivenUp { job: job.id, reason, untouched: true, retry_after };
-    core.handle(Event::Peer { from, message }, ms(at))
+    core.handle(Event::PeerMessage { from, message }, ms(at))
 }
 
 #[test]
--- a/tests/direct_cold.rs
+++ b/tests/direct_cold.rs
@@ -107,12 +107,12 @@
     let mut core = new_core();
     let document = Document::Deployment(Arc::new(deployment));
     let documents = vec![Revised { position: position(1), made: 0, document }];
-    core.handle(Event::Published { documents, whole_at: None }, ms(0));
+    core.handle(Event::Published { documents, snapshot_at: None }, ms(0));
     let documents = listed(&[cold(1, 0), cold(2, 0)], 2);
-    core.handle(Event::Published { documents, whole_at: Some(position(2)) }, ms(0));
+    core.handle(Event::Published { documents, snapshot_at: Some(position(2)) }, ms(0));
     hear_of(&mut core, (2..=21).map(serving).collect(), ms(9_900));
     let documents = listed(engines, 3);
-    core.handle(Event::Published { documents, whole_at: None }, ms(10_000));
+    core.handle(Event::Published { documents, snapshot_at: None }, ms(10_000));
     core
 }
 
--- a/tests/direct_departures.rs
+++ b/tests/direct_departures.rs
@@ -12,11 +12,11 @@
 };
 use directenv::{address, deployment, ms, position};
 use stackmast::actor::Core;
-use stackmast::direct::answers::Proof;
+use stackmast::direct::answers::AnswerProof;
 use stackmast::direct::backoff::Backoffs;
 use stackmast::direct::departures::{Departure, Departures};
 use stackmast::direct::event::{Action, Event};
-use stackmast::direct::note::Note;
+use stackmast::direct::log_events::LogEvent;
 use stackmast::direct::published::documents::{Document, Revised};
 use stackmast::direct::published::evacuations::Evacuation;
 use stackmast::direct::published::model::Endpoint;
@@ -30,12 +30,18 @@
 fn an_endpoint_that_leaves_gets_no_new_work_whatever_its_answer_was_to(asked: Asked) {
     let mut core = configured(routes());
     assert!(gets_any(&mut core, "engine-1", 1, 10));
-    let event =
-        Event::Stated { endpoint: engine(1), asked, statement: LEAVES, sent: ms(20), at: ms(20) };
+    let event = Event::EndpointStatus {
+        endpoint: engine(1),
+        asked,
+        statement: LEAVES,
+        sent: ms(20),
+        at: ms(20),
+    };
     let actions = core.handle(event, ms(20));
-    let is_told = |a: &Action| matches!(a, Action::Note(Note::Endpoint { state: "leaving", .. }));
+    let is_told =
+        |a: &Action| matches!(a, Action::Log(LogEvent::Endpoint { state: "leaving", .. }));
     assert!(actions.iter().any(is_told), "on-call is told of the change");
-    let withheld = |a: &Action| matches!(a, Action::Withhold { until: None, .. });
+    let withheld = |a: &Action| matches!(a, Action::BlockSends { until: None, .. });
     assert!(actions.iter().any(withheld), "also what was ordered before");
     assert!(!gets_any(&mut core, "engine-1", 100, 30));
     assert!(gets_any(&mut core, "engine-2", 200, 40));
@@ -55,7 +61,7 @@
         made: 0,
         document: Document::Gone("engine-1".into()),
     }];
-    core.handle(Event::Published { documents: gone, whole_at: None }, ms(40));
+    core.handle(Event::Published { documents: gone, snapshot_at: None }, ms(40));
     enter(&mut core, &engine(1), 52, 50);
     assert!(!gets_any(&mut core, "engine-1", 200, 60), "it had lapsed and is back");
 }
@@ -73,7 +79,7 @@
             stands,
         };
         let changes = vec![order];
-        core.handle(Event::Evacuations { changes, whole_at: None }, ms(revision));
+        core.handle(Event::Evacuations { changes, snapshot_at: None }, ms(revision));
     }
     assert!(!gets_any(&mut core, "engine-1", 200, 80));
 }
@@ -154,9 +160,9 @@
     let mut core = configured(routes());
     says(&mut core, &engine(1), LEAVES, 10);
     says(&mut core, &engine(2), pause_for(ms(3 * SECONDS)), 10);
-    core.stood_still(ms(2 * SECONDS), ms(2_100));
+    core.on_suspension(ms(2 * SECONDS), ms(2_100));
     assert_eq!(goes_to(&mut core, 1, 2_110), None, "one leaves, the other wants nothing yet");
-    core.stood_still(ms(5 * SECONDS), ms(7_200));
+    core.on_suspension(ms(5 * SECONDS), ms(7_200));
     assert_eq!(goes_to(&mut core, 2, 7_210).as_deref(), Some("engine-2"), "its pause is over");
 }
 
@@ -166,8 +172,13 @@
     let actions = submit(&mut core, 1, incoming("r", Vec::new()), ms(0));
     let (attempt, order) = calls(&actions)[0].clone();
     let load = Some((60, 60, 64));
-    let proof =
-        Proof { status: 421, not_run: true, other_endpoint: true, load, ..Proof::default() };
+    let proof = AnswerProof {
+        status: 421,
+        not_run: true,
+        from_other_endpoint: true,
+        load,
+        ..AnswerProof::default()
+    };
     core.handle(Event::Answered { caller: 1, attempt, proof, is_open: false }, ms(5));
     // It is avoided for a moment as at any wrong address, and not for being full.
     assert!(gets_any(&mut core, &order.endpoint.id, 100, 600));
--- a/tests/direct_eras.rs
+++ b/tests/direct_eras.rs
@@ -12,7 +12,7 @@
 use stackmast::actor::Core;
 use stackmast::direct::core::{GatewayCore, Setup};
 use stackmast::direct::event::{Action, Event};
-use stackmast::direct::note::{Note, PublishedVersion, StoreEra, StoreReturned};
+use stackmast::direct::log_events::{LogEvent, PublishedVersion, StoreEra, StoreReturned};
 use stackmast::direct::peers::message::PeerMessage;
 use stackmast::direct::published::documents::{Document, Documents, EntryState, Revised, Seen};
 use stackmast::direct::published::evacuations::{Evacuation, Evacuations};
@@ -200,15 +200,15 @@
     let configured = Document::Deployment(Arc::new(deployment(version, routes)));
     let documents = vec![Revised { position: at, made: 1, document: configured }];
     let mut actions = core.handle(Event::StoreEra { era: at.era }, ms(now));
-    actions.extend(core.handle(Event::Published { documents, whole_at: None }, ms(now)));
+    actions.extend(core.handle(Event::Published { documents, snapshot_at: None }, ms(now)));
     let listed = endpoints().into_iter().map(|endpoint| entry(endpoint, at, 1)).collect();
-    let event = Event::Published { documents: listed, whole_at: Some(at) };
+    let event = Event::Published { documents: listed, snapshot_at: Some(at) };
     actions.extend(core.handle(event, ms(now)));
     actions
 }
 
 fn gossip(says: Says) -> Event {
-    Event::Peer { from: address(2), message: says.message() }
+    Event::PeerMessage { from: address(2), message: says.message() }
 }
 
 fn beat(heartbeat: u64, says: Says) -> Event {
@@ -219,7 +219,7 @@
 
 fn new_eras(actions: &[Action]) -> Vec<u64> {
     let eras = actions.iter().filter_map(|action| match action {
-        Action::StoreEra(era) => Some(*era),
+        Action::SetStoreEra(era) => Some(*era),
         _ => None,
     });
     eras.collect()
@@ -234,7 +234,7 @@
     let is_line = |a: &Action| {
         matches!(
             a,
-            Action::Note(Note::StoreEra(StoreEra {
+            Action::Log(LogEvent::StoreEra(StoreEra {
                 before: BEFORE,
                 era: AFTER,
                 revision_before: 90,
@@ -244,7 +244,7 @@
     };
     assert!(actions.iter().any(is_line), "{actions:?}");
     let spreads = actions.iter().any(|a| {
-        matches!(a, Action::Spread { message: PeerMessage::Gossip { era: AFTER, .. }, .. })
+        matches!(a, Action::Broadcast { message: PeerMessage::Gossip { era: AFTER, .. }, .. })
     });
     assert!(spreads, "others hear at once");
     let again = core.handle(beat(2, Says { era: AFTER, ..Says::default() }), ms(510));
@@ -263,7 +263,7 @@
         let says = Says { era: AFTER, seen, ..Says::default() };
         let actions = core.handle(beat(step, says), ms(500 + step * 10));
         pulled = pulled.or(actions.into_iter().find_map(|a| match a {
-            Action::Tell { message: PeerMessage::Pull { seen, .. }, .. } => Some(seen),
+            Action::Send { message: PeerMessage::Pull { seen, .. }, .. } => Some(seen),
             _ => None,
         }));
     }
@@ -272,9 +272,9 @@
     let copied = endpoints().into_iter().filter(stays);
     let documents = copied.map(|endpoint| entry(endpoint, after(40), 1)).collect();
     let message = PeerMessage::Documents { documents, complete: true, seen: 40, era: AFTER };
-    let actions = core.handle(Event::Peer { from: address(2), message }, ms(2_600));
+    let actions = core.handle(Event::PeerMessage { from: address(2), message }, ms(2_600));
     let is_line = |a: &Action| {
-        matches!(a, Action::Note(Note::StoreReturned(StoreReturned { era: AFTER, .. })))
+        matches!(a, Action::Log(LogEvent::StoreReturned(StoreReturned { era: AFTER, .. })))
     };
     assert!(actions.iter().any(is_line));
     assert!(core.table().endpoint("engine-1").is_some());
@@ -288,11 +288,11 @@
     let pull = |endpoints| {
         let seen = Seen { version: 3, endpoints };
         let message = PeerMessage::Pull { seen, configuration: false, number: 0 };
-        Event::Peer { from: address(2), message }
+        Event::PeerMessage { from: address(2), message }
     };
     let given = |actions: Vec<Action>| {
         actions.into_iter().find_map(|a| match a {
-            Action::Tell { message: PeerMessage::Documents { documents, era, .. }, .. } => {
+            Action::Send { message: PeerMessage::Documents { documents, era, .. }, .. } => {
                 Some((documents.len(), era))
             }
             _ => None,
@@ -311,8 +311,10 @@
     publish(&mut core, 9, before(90), 0);
     let lines = |actions: &[Action]| -> Vec<(u64, bool)> {
         let lines = actions.iter().filter_map(|a| match a {
-            Action::Note(Note::PublishedVersion(PublishedVersion {
-                published, is_older, ..
+            Action::Log(LogEvent::PublishedVersion(PublishedVersion {
+                published,
+                is_older,
+                ..
             })) => Some((*published, *is_older)),
             _ => None,
         });
@@ -339,10 +341,10 @@
 fn evacuations(
     core: &mut GatewayCore,
     changes: Vec<Evacuation>,
-    whole_at: Option<Position>,
+    snapshot_at: Option<Position>,
     now: u64,
 ) {
-    core.handle(Event::Evacuations { changes, whole_at }, ms(now));
+    core.handle(Event::Evacuations { changes, snapshot_at }, ms(now));
 }
 
 #[test_case(true; "an order that the copy lacks goes on")]
@@ -398,7 +400,7 @@
     core.handle(beat(1, Says { evacuations, ..Says::default() }), ms(10));
     assert!(is_evacuated(&core));
     publish(&mut core, 3, after(40), 500);
-    core.handle(Event::Evacuations { changes: Vec::new(), whole_at: Some(after(40)) }, ms(500));
+    core.handle(Event::Evacuations { changes: Vec::new(), snapshot_at: Some(after(40)) }, ms(500));
     core.handle(Event::Tick, ms(4_000));
     assert!(!is_evacuated(&core));
     let evacuations = without_era(99, true);
@@ -416,7 +418,7 @@
 }
 
 fn is_ready(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Ready(true)))
+    actions.iter().any(|a| matches!(a, Action::SetReady(true)))
 }
 
 #[test]
@@ -426,7 +428,7 @@
     assert!(!is_ready(&actions));
     let deployment = Arc::new(deployment(9, vec![route("r", Repeat::Idempotent, &[])]));
     let message = PeerMessage::Configuration { revision: 95, deployment, pull: 0, era: BEFORE };
-    let actions = core.handle(Event::Peer { from: address(2), message }, ms(900));
+    let actions = core.handle(Event::PeerMessage { from: address(2), message }, ms(900));
     assert!(is_ready(&actions));
     assert_eq!(core.table().deployment.version, 9);
 }
@@ -448,7 +450,7 @@
     let mut core = GatewayCore::new(Setup { seeds, ..setup() });
     let actions = core.handle(Event::Tick, ms(0));
     let asked = actions.iter().find_map(|a| match a {
-        Action::Spread { to, .. } => Some(to.clone()),
+        Action::Broadcast { to, .. } => Some(to.clone()),
         _ => None,
     });
     let asked: BTreeSet<SocketAddr> = asked.expect("a heartbeat").into_iter().collect();
@@ -462,7 +464,7 @@
     let mut core = starts_with_seeds();
     let seen = Seen { version: 6, endpoints: after(40) };
     let starting = Says { members: vec![serving(3)], seen, era: AFTER, ..Says::default() };
-    let event = Event::Peer { from: address(3), message: starting.message() };
+    let event = Event::PeerMessage { from: address(3), message: starting.message() };
     assert!(!is_ready(&core.handle(event, ms(20))), "it knows no more itself");
     let actions = core.handle(beat(1, Says { seen, era: AFTER, ..Says::default() }), ms(30));
     assert!(is_ready(&actions));
--- a/tests/direct_evacuations.rs
+++ b/tests/direct_evacuations.rs
@@ -13,7 +13,7 @@
 use stackmast::actor::Core;
 use stackmast::direct::core::GatewayCore;
 use stackmast::direct::event::{Action, Event, Refused};
-use stackmast::direct::note::Note;
+use stackmast::direct::log_events::LogEvent;
 use stackmast::direct::peers::message::PeerMessage;
 use stackmast::direct::published::evacuations::{Evacuation, Evacuations};
 use stackmast::direct::published::model::{Endpoint, Repeat};
@@ -24,14 +24,14 @@
 }
 
 fn ordered(core: &mut GatewayCore, change: Evacuation, now: Duration) -> Vec<Action> {
-    core.handle(Event::Evacuations { changes: vec![change], whole_at: None }, now)
+    core.handle(Event::Evacuations { changes: vec![change], snapshot_at: None }, now)
 }
 
 /// What a peer knows.
 fn told(core: &mut GatewayCore, known: &Evacuations, now: Duration) -> Vec<Action> {
     let (members, evacuations) = (vec![serving(2)], known.clone());
     let message = Says { members, complete: true, evacuations, ..Says::default() }.message();
-    core.handle(Event::Peer { from: address(2), message }, now)
+    core.handle(Event::PeerMessage { from: address(2), message }, now)
 }
 
 /// The data centres that requests are sent to.
@@ -56,10 +56,10 @@
     assert_eq!(reached(&mut core, 1, ms(1)), ["hall-0", "hall-1"]);
     let actions = ordered(&mut core, change("hall-0", 5, true), ms(2));
     let noted = |a: &&Action| {
-        matches!(a, Action::Note(Note::Evacuation { stands: true, endpoints: 4, .. }))
+        matches!(a, Action::Log(LogEvent::Evacuation { stands: true, endpoints: 4, .. }))
     };
     assert_eq!(actions.iter().filter(noted).count(), 1, "on-call is told");
-    let spread = |a: &&Action| matches!(a, Action::Spread { message: PeerMessage::Gossip { evacuations, .. }, .. } if evacuations.standing().contains("hall-0"));
+    let spread = |a: &&Action| matches!(a, Action::Broadcast { message: PeerMessage::Gossip { evacuations, .. }, .. } if evacuations.standing().contains("hall-0"));
     assert_eq!(actions.iter().filter(spread).count(), 1, "and the peers, at once");
     assert_eq!(reached(&mut core, 10, ms(3)), ["hall-1"]);
     ordered(&mut core, change("hall-0", 4, false), ms(4));
@@ -78,7 +78,7 @@
     assert_eq!(reached(&mut core, 1, ms(3)), ["hall-1"]);
     // It is entered anew, and the configuration changes: the order stands.
     let entered = Arc::new(Endpoint { slots: 7, ..(*endpoint("engine", 2)).clone() });
-    core.handle(Event::Published { documents: listed(&[entered], 9), whole_at: None }, ms(4));
+    core.handle(Event::Published { documents: listed(&[entered], 9), snapshot_at: None }, ms(4));
     publish(&mut core, deployment(2, vec![route("r", Repeat::Idempotent, &[])]), ms(5));
     assert_eq!(reached(&mut core, 10, ms(6)), ["hall-1"]);
 }
@@ -88,7 +88,7 @@
     let mut core = core();
     let mut known = Evacuations::default();
     known.change(&change("hall-0", 5, true));
-    core.handle(Event::Evacuations { changes: Vec::new(), whole_at: Some(position(8)) }, ms(1));
+    core.handle(Event::Evacuations { changes: Vec::new(), snapshot_at: Some(position(8)) }, ms(1));
     told(&mut core, &known, ms(2));
     assert_eq!(reached(&mut core, 1, ms(3)), ["hall-0", "hall-1"], "at 8 it did not stand");
     known.change(&change("hall-0", 9, true));
@@ -119,7 +119,7 @@
     ordered(&mut core, change("hall-0", 5, true), ms(1));
     let batches = |actions: &[Action]| -> Vec<String> {
         let called = actions.iter().filter_map(|a| match a {
-            Action::Batch { endpoint, .. } => Some(endpoint.data_centre.to_string()),
+            Action::CallBatch { endpoint, .. } => Some(endpoint.data_centre.to_string()),
             _ => None,
         });
         called.collect()
@@ -148,8 +148,10 @@
     for number in 0..100 {
         let actions =
             ordered(&mut core, change(&format!("place-{number}"), number + 5, true), ms(1));
-        told +=
-            actions.iter().filter(|a| matches!(a, Action::Note(Note::Unreadable { .. }))).count();
+        told += actions
+            .iter()
+            .filter(|a| matches!(a, Action::Log(LogEvent::Unreadable { .. })))
+            .count();
     }
     assert_eq!(told, 36, "each that is not taken leaves a line");
 }
--- a/tests/direct_gates.rs
+++ b/tests/direct_gates.rs
@@ -10,11 +10,11 @@
 use directenv::{address, deployment, endpoint, ms, position, route};
 use hyper::{HeaderMap, Method, StatusCode};
 use stackmast::actor::{mailbox, run};
-use stackmast::direct::answers::{BatchOutcome, BatchReport, CallFailure, Proof};
+use stackmast::direct::answers::{AnswerProof, BatchOutcome, BatchReport, CallFailure};
 use stackmast::direct::client::{
     Answer, AnswerBody, AnswerHead, EndpointClient, Exchange, Forwarded,
 };
-use stackmast::direct::event::{CallOrder, Event, PieceOrder};
+use stackmast::direct::event::{CallSpec, Event, PieceSpec};
 use stackmast::direct::gates::Gates;
 use stackmast::direct::peers::links::Peers;
 use stackmast::direct::peers::message::Handle;
@@ -70,7 +70,7 @@
 impl EndpointClient for Said {
     async fn call(
         &self,
-        _order: CallOrder,
+        _order: CallSpec,
         _request: Arc<Forwarded>,
         mut exchange: impl Exchange,
     ) -> Result<Answer, CallFailure> {
@@ -83,14 +83,19 @@
         self.went_out.fetch_add(1, Ordering::Relaxed);
         exchange.states(self.statement);
         let head = AnswerHead { status: StatusCode::OK, headers: HeaderMap::new() };
-        let proof = Proof { status: 200, signed: true, own: true, ..Proof::default() };
+        let proof = AnswerProof {
+            status: 200,
+            signed: true,
+            names_request: true,
+            ..AnswerProof::default()
+        };
         Ok(Answer { proof, head, body: AnswerBody::Whole(Bytes::new()) })
     }
 
     async fn batch(
         &self,
         _endpoint: Arc<Endpoint>,
-        _pieces: Vec<PieceOrder>,
+        _pieces: Vec<PieceSpec>,
         _exchange: impl Exchange,
     ) -> BatchOutcome {
         BatchOutcome::Full
@@ -125,7 +130,9 @@
     let document = Document::Deployment(Arc::new(deployment(1, routes)));
     let mut documents = listed(&[endpoint("engine", 1)], 2);
     documents.push(Revised { position: position(1), made: 0, document });
-    core.send(Event::Published { documents, whole_at: Some(position(2)) }).await.expect("a core");
+    core.send(Event::Published { documents, snapshot_at: Some(position(2)) })
+        .await
+        .expect("a core");
     let ask = async || {
         let (method, headers, body) = (Method::GET, HeaderMap::new(), Bytes::new());
         let request = Forwarded { method, target: "/r/x".to_owned(), headers, body };
--- a/tests/direct_homes.rs
+++ b/tests/direct_homes.rs
@@ -41,9 +41,9 @@
     let mut core = new_core();
     let document = Document::Deployment(Arc::new(deployment));
     let documents = vec![Revised { position: position(1), made: 0, document }];
-    core.handle(Event::Published { documents, whole_at: None }, ms(0));
+    core.handle(Event::Published { documents, snapshot_at: None }, ms(0));
     let documents = listed(&placed(), 2);
-    core.handle(Event::Published { documents, whole_at: Some(position(2)) }, ms(0));
+    core.handle(Event::Published { documents, snapshot_at: Some(position(2)) }, ms(0));
     core
 }
 
@@ -77,13 +77,13 @@
         incoming.id = format!("id-{caller}").into();
         let actions = submit(&mut core, caller, incoming, ms(1));
         for action in actions {
-            if let Action::Batch { endpoint, .. } = action {
+            if let Action::CallBatch { endpoint, .. } = action {
                 assert_eq!(&*endpoint.data_centre, "hall-0");
             }
         }
     }
     let late = core.handle(Event::Tick, ms(1_900));
     assert!(!late.iter().any(
-        |a| matches!(a, Action::Batch { endpoint, .. } if &*endpoint.data_centre == "hall-1")
+        |a| matches!(a, Action::CallBatch { endpoint, .. } if &*endpoint.data_centre == "hall-1")
     ));
 }
--- a/tests/direct_late.rs
+++ b/tests/direct_late.rs
@@ -9,7 +9,7 @@
 use stackmast::actor::{self, Core, Shell};
 use stackmast::direct::core::GatewayCore;
 use stackmast::direct::event::{Action, Event, Refused};
-use stackmast::direct::note::Note;
+use stackmast::direct::log_events::LogEvent;
 use stackmast::direct::peers::message::PeerMessage;
 use stackmast::direct::published::model::{Repeat, Route};
 use test_case::test_case;
@@ -25,7 +25,7 @@
 /// Events wait for the core for so long, one after the other.
 fn wait(core: &mut GatewayCore, waited: Duration, now: Duration) {
     for _ in 0..30 {
-        core.waits(waited, now);
+        core.on_queue_delay(waited, now);
         core.handle(Event::Tick, now);
     }
 }
@@ -34,10 +34,10 @@
 fn a_request_that_waited_for_the_core_is_held_no_longer_than_its_time_out_counted_from_its_arrival()
 {
     let mut core = configured(vec![plain()]);
-    core.waits(ms(15), ms(1_015));
+    core.on_queue_delay(ms(15), ms(1_015));
     let actions = submit(&mut core, 1, incoming("plain", vec![]), ms(1_015));
-    assert_eq!(calls(&actions)[0].1.allowed, ms(785));
-    core.waits(Duration::ZERO, ms(1_801));
+    assert_eq!(calls(&actions)[0].1.timeout, ms(785));
+    core.on_queue_delay(Duration::ZERO, ms(1_801));
     let actions = core.handle(Event::Tick, ms(1_801));
     assert!(refusal(&actions).is_some(), "800 ms after its arrival it has its answer");
 }
@@ -46,7 +46,7 @@
 fn what_could_not_be_answered_in_its_time_is_refused_at_the_door_as_not_run() {
     let mut core = configured(vec![plain()]);
     wait(&mut core, ms(450), ms(1_000));
-    core.waits(ms(450), ms(1_001));
+    core.on_queue_delay(ms(450), ms(1_001));
     let actions = submit(&mut core, 1, incoming("plain", vec![]), ms(1_001));
     assert!(calls(&actions).is_empty(), "nothing is begun");
     let refused = refusal(&actions).expect("a refusal");
@@ -61,7 +61,7 @@
     let mut now = ms(1_001);
     for _ in 0..20 {
         now += ms(1);
-        core.waits(Duration::ZERO, now);
+        core.on_queue_delay(Duration::ZERO, now);
         core.handle(Event::Tick, now);
     }
     let actions = submit(&mut core, 1, incoming("plain", vec![]), now);
@@ -73,14 +73,14 @@
     let mut core = configured(vec![plain()]);
     let told = |actions: Vec<Action>| -> Vec<bool> {
         let told = actions.into_iter().filter_map(|a| match a {
-            Action::Note(Note::ShortOfTime { is_short, .. }) => Some(is_short),
+            Action::Log(LogEvent::Overloaded { is_overloaded, .. }) => Some(is_overloaded),
             _ => None,
         });
         told.collect()
     };
     let mut all = Vec::new();
     for waited in [0, 400, 400, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0] {
-        core.waits(ms(waited), ms(1_000));
+        core.on_queue_delay(ms(waited), ms(1_000));
         all.extend(told(core.handle(Event::Tick, ms(1_000))));
     }
     assert_eq!(all, [true, false]);
@@ -101,16 +101,16 @@
         let members =
             vec![stackmast::direct::peers::members::Member { heartbeat, ..strong.clone() }];
         let message = Says { members, complete: true, late, ..Says::default() }.message();
-        Event::Peer { from: address(5), message }
+        Event::PeerMessage { from: address(5), message }
     };
     core.handle(beat(2), ms(1_100));
     let actions = submit(core, 1, incoming("staged", vec![1]), ms(1_100));
-    let is_submitted = |a: &Action| matches!(a, Action::Tell { to, message: PeerMessage::Submit(_) } if *to == address(5));
+    let is_submitted = |a: &Action| matches!(a, Action::Send { to, message: PeerMessage::Submit(_) } if *to == address(5));
     assert!(actions.iter().any(is_submitted), "to the owner");
     for tick in 1..400 {
         let after = tick * 5;
         let actions = core.handle(beat(2 + tick), ms(1_100 + after));
-        let is_given_up = |a: &Action| matches!(a, Action::Tell { to, message: PeerMessage::Release(_) } if *to == address(5));
+        let is_given_up = |a: &Action| matches!(a, Action::Send { to, message: PeerMessage::Release(_) } if *to == address(5));
         if actions.iter().any(is_given_up) {
             return Some(after);
         }
--- a/tests/direct_limits.rs
+++ b/tests/direct_limits.rs
@@ -12,7 +12,7 @@
 use stackmast::actor::Core;
 use stackmast::direct::answers::{BatchOutcome, CallFailure, PieceOutcome};
 use stackmast::direct::core::{GatewayCore, Setup};
-use stackmast::direct::event::{Action, CallOrder, Event, Refused};
+use stackmast::direct::event::{Action, CallSpec, Event, Refused};
 use stackmast::direct::gates::Gates;
 use stackmast::direct::limits::known::{KnownLimits, LimitTold};
 use stackmast::direct::limits::limiter::{Ask, Asker, Decided, Limiter, Pace};
@@ -48,7 +48,7 @@
     from: u64,
     to: u64,
     every: u64,
-) -> Vec<(u64, CallOrder)> {
+) -> Vec<(u64, CallSpec)> {
     let mut sent = Vec::new();
     for (number, now) in (from..to).step_by(every as usize).enumerate() {
         let caller = first + number as u64;
@@ -66,7 +66,7 @@
     sent
 }
 
-fn to_first(sent: &[(u64, CallOrder)]) -> Vec<u64> {
+fn to_first(sent: &[(u64, CallSpec)]) -> Vec<u64> {
     sent.iter().filter(|(_, order)| &*order.endpoint.id == "engine-1").map(|(at, _)| *at).collect()
 }
 
@@ -203,7 +203,7 @@
     let actions = submit(&mut core, 1, incoming("r", Vec::new()), ms(2_000));
     let (attempt, order) = calls(&actions)[0].clone();
     let actions = says(&mut core, &order.endpoint, names(0.0), 2_001);
-    let closes = |a: &Action| matches!(a, Action::Limit { is_limited: true, .. });
+    let closes = |a: &Action| matches!(a, Action::RequirePermits { is_limited: true, .. });
     assert!(actions.iter().any(closes));
     let failure = CallFailure::Withheld;
     let actions = core.handle(Event::CallFailed { caller: 1, attempt, failure }, ms(2_002));
@@ -330,8 +330,8 @@
 
 fn limits_told(actions: &[Action]) -> Vec<LimitTold> {
     let messages = actions.iter().filter_map(|a| match a {
-        Action::Spread { message: PeerMessage::Gossip { limits, .. }, .. }
-        | Action::Tell { message: PeerMessage::Gossip { limits, .. }, .. } => Some(limits),
+        Action::Broadcast { message: PeerMessage::Gossip { limits, .. }, .. }
+        | Action::Send { message: PeerMessage::Gossip { limits, .. }, .. } => Some(limits),
         _ => None,
     });
     messages.flatten().cloned().collect()
@@ -346,7 +346,7 @@
     }
     assert_eq!(told, [account(1, at(1.0)), account(1, at(1.0))], "with two heartbeats");
     let message = Says { members: vec![serving(5)], ..Says::default() }.message();
-    let actions = core.handle(Event::Peer { from: address(5), message }, ms(1_100));
+    let actions = core.handle(Event::PeerMessage { from: address(5), message }, ms(1_100));
     assert_eq!(limits_told(&actions), [account(1, at(1.0))], "who starts is told at once");
 }
 
@@ -355,7 +355,7 @@
     let (mut core, _) = two();
     let limits = vec![account(1, at(0.0))];
     let message = Says { members: vec![serving(2)], limits, ..Says::default() }.message();
-    core.handle(Event::Peer { from: address(2), message }, ms(200));
+    core.handle(Event::PeerMessage { from: address(2), message }, ms(200));
     for caller in 1..=40 {
         let actions = submit(&mut core, caller, incoming("r", Vec::new()), ms(200 + caller));
         assert!(calls(&actions).iter().all(|(_, order)| &*order.endpoint.id != "engine-1"));
@@ -364,7 +364,7 @@
 
 fn asked(actions: &[Action]) -> Vec<u64> {
     let told = actions.iter().filter_map(|a| match a {
-        Action::Tell { message: PeerMessage::AskPermit { number, .. }, .. } => Some(*number),
+        Action::Send { message: PeerMessage::AskPermit { number, .. }, .. } => Some(*number),
         _ => None,
     });
     told.collect()
@@ -391,7 +391,7 @@
     core.handle(Event::Tick, ms(later));
     let (given, retry_after) = (true, Duration::ZERO);
     let message = PeerMessage::Permit { number, given, retry_after };
-    let actions = core.handle(Event::Peer { from: address(1), message }, ms(later));
+    let actions = core.handle(Event::PeerMessage { from: address(1), message }, ms(later));
     assert!(calls(&actions).is_empty());
 }
 
@@ -401,7 +401,7 @@
     let number = of_the_other(&mut core, 500);
     let (given, retry_after) = (true, Duration::ZERO);
     let message = PeerMessage::Permit { number, given, retry_after };
-    let event = |from| Event::Peer { from: address(from), message: message.clone() };
+    let event = |from| Event::PeerMessage { from: address(from), message: message.clone() };
     assert!(calls(&core.handle(event(7), ms(530))).is_empty());
     assert_eq!(calls(&core.handle(event(1), ms(531))).len(), 1);
     assert!(calls(&core.handle(event(1), ms(532))).is_empty(), "one permit, one message");
--- a/tests/direct_links.rs
+++ b/tests/direct_links.rs
@@ -25,7 +25,7 @@
     let state = MemberState::Serving;
     let member = Member { address: from, incarnation: 1, heartbeat, state, capacity: 1_000 };
     let message = Says { members: vec![member], ..Says::default() }.message();
-    Event::Peer { from, message }
+    Event::PeerMessage { from, message }
 }
 
 #[test]
--- a/tests/direct_pauses.rs
+++ b/tests/direct_pauses.rs
@@ -15,7 +15,7 @@
 use stackmast::direct::backoff::Backoffs;
 use stackmast::direct::core::GatewayCore;
 use stackmast::direct::event::{Action, Event, Refused};
-use stackmast::direct::note::Note;
+use stackmast::direct::log_events::LogEvent;
 use stackmast::direct::owner::owners::Owners;
 use stackmast::direct::published::model::ColdStart;
 use stackmast::direct::repeats::Bounds;
@@ -28,7 +28,7 @@
     let (call, maker) = batches(&actions)[0].clone();
     says(&mut core, &maker, pause_for(ms(2 * SECONDS)), 10);
     core.handle(Event::BatchEnded { call, outcome: made("h/1") }, ms(200));
-    let mut actions = core.handle(Event::CallerGone { caller: 1 }, ms(210));
+    let mut actions = core.handle(Event::CallerDisconnected { caller: 1 }, ms(210));
     for at in (220..=2_000).step_by(20) {
         actions.extend(core.handle(Event::Tick, ms(at)));
     }
@@ -47,7 +47,7 @@
     let (call, maker) = batches(&actions)[0].clone();
     says(&mut core, &maker, LEAVES, 10);
     core.handle(Event::BatchEnded { call, outcome: made("h/1") }, ms(200));
-    let actions = core.handle(Event::CallerGone { caller: 1 }, ms(210));
+    let actions = core.handle(Event::CallerDisconnected { caller: 1 }, ms(210));
     assert_eq!(
         freed(&actions),
         [maker.id.to_string()],
@@ -120,7 +120,7 @@
     // The first job after a while has all endpoints asked.
     let actions = submit(&mut core, 1, incoming("staged", vec![0, 1]), ms(3_000));
     let asked = |a: &Action| match a {
-        Action::AskReport(endpoint) => Some(endpoint.id.to_string()),
+        Action::RequestReport(endpoint) => Some(endpoint.id.to_string()),
         _ => None,
     };
     let asked: Vec<String> = actions.iter().filter_map(asked).collect();
@@ -138,7 +138,7 @@
         }
         let outcome = BatchOutcome::Pieces(vec![PieceOutcome::NoRoom]);
         let actions = core.handle(Event::BatchEnded { call, outcome }, ms(300));
-        let asked = actions.iter().filter(|a| matches!(a, Action::AskReport(_))).count();
+        let asked = actions.iter().filter(|a| matches!(a, Action::RequestReport(_))).count();
         assert_eq!(asked, expected);
     }
 }
@@ -154,7 +154,7 @@
     for (number, service) in [(1, "first"), (2, "first"), (1, "engine"), (2, "engine")] {
         let cold = Statement { cold: Some(ms(2 * SECONDS)), ..Statement::default() };
         let told = says(&mut core, &endpoint(service, number), cold, 3_010);
-        let noted = |a: &&Action| matches!(a, Action::Note(Note::Stated { .. }));
+        let noted = |a: &&Action| matches!(a, Action::Log(LogEvent::EndpointStatus { .. }));
         assert_eq!(told.iter().filter(noted).count(), 1);
         let again = says(&mut core, &endpoint(service, number), cold, 3_020);
         assert_eq!(again.iter().filter(noted).count(), 0, "told once");
@@ -178,7 +178,7 @@
     submit(&mut core, 1, incoming("staged", vec![1, 1]), ms(0));
     says(&mut core, &endpoint("first", 1), pause_for(ms(5 * SECONDS)), 10);
     let report = BatchReport { free_bytes: 1_000, waiting: 0, incarnation: 99 };
-    let event = Event::Reported { endpoint: "first-1".into(), report, asked: ms(15) };
+    let event = Event::ReportReceived { endpoint: "first-1".into(), report, requested_at: ms(15) };
     core.handle(event, ms(20));
     let sent = (2..30).flat_map(|caller| {
         let actions = submit(&mut core, caller, incoming("staged", vec![1, 0]), ms(100 * caller));
--- a/tests/direct_pulls.rs
+++ b/tests/direct_pulls.rs
@@ -46,7 +46,7 @@
             document: Document::Endpoint(endpoint("engine", 1)),
         },
     ];
-    core.handle(Event::Published { documents, whole_at: Some(position(2)) }, ms(0));
+    core.handle(Event::Published { documents, snapshot_at: Some(position(2)) }, ms(0));
     core
 }
 
@@ -61,12 +61,12 @@
     };
     let says = Says { members: vec![member], seen, complete: true, ..Says::default() };
     let message = says.message();
-    Event::Peer { from: address(port), message }
+    Event::PeerMessage { from: address(port), message }
 }
 
 fn pulls(actions: &[Action]) -> Vec<SocketAddr> {
     let asked = actions.iter().filter_map(|a| match a {
-        Action::Tell { to, message: PeerMessage::Pull { .. } } => Some(*to),
+        Action::Send { to, message: PeerMessage::Pull { .. } } => Some(*to),
         _ => None,
     });
     asked.collect()
@@ -86,7 +86,7 @@
 /// Of a configuration of 500,000 bytes so many have come from a peer.
 fn sends(port: u16, bytes: u64) -> Event {
     let progress = Progress { pull: 0, bytes, expected: Some(500_000) };
-    Event::PeerSends { from: address(port), progress }
+    Event::ConfigurationPullProgress { from: address(port), progress }
 }
 
 const NEWER: Seen = Seen { version: 2, endpoints: position(2) };
@@ -151,9 +151,9 @@
             let document = Document::Deployment(deployment(step as u64, Vec::new()).into());
             let documents =
                 vec![Revised { position: position(3 + step as u64), made: 0, document }];
-            core.handle(Event::Published { documents, whole_at: None }, ms(at));
+            core.handle(Event::Published { documents, snapshot_at: None }, ms(at));
         }
-        let actions = core.handle(Event::Reading, ms(at));
+        let actions = core.handle(Event::ConfigurationReadProgress, ms(at));
         found.extend(pulls(&actions).into_iter().map(|to| (ms(at), to)));
         found.extend(asked(&mut core, newest, at, at + 200));
     }
@@ -167,7 +167,7 @@
         let mut core = gateway();
         let document = Document::Deployment(deployment(2, Vec::new()).into());
         let documents = vec![Revised { position: position(3), made: 0, document }];
-        core.handle(Event::Published { documents, whole_at: None }, ms(2_000));
+        core.handle(Event::Published { documents, snapshot_at: None }, ms(2_000));
         let newer = Seen { version: 3, endpoints: position(2) };
         let asked = asked(&mut core, newer, 2_005 + told, 4_000);
         let waited = asked[0].0 - ms(2_005 + told);
@@ -176,8 +176,8 @@
     }
 }
 
-#[test_case(&|| Event::Peer { from: address(4), message: PeerMessage::NoConfiguration }; "that refuses")]
-#[test_case(&|| Event::PeerBrokeOff { from: address(4), pull: 0 }; "that breaks off")]
+#[test_case(&|| Event::PeerMessage { from: address(4), message: PeerMessage::NoConfiguration }; "that refuses")]
+#[test_case(&|| Event::ConfigurationPullAborted { from: address(4), pull: 0 }; "that breaks off")]
 fn another_is_asked_after_a_peer(event: &dyn Fn() -> Event) {
     let mut core = gateway();
     assert_eq!(asked(&mut core, NEWER, 2_000, 2_300).len(), 1);
@@ -193,7 +193,8 @@
 fn only_the_end_of_the_own_pull_makes_another_peer_asked(pull: u64, is_asked: bool) {
     let mut core = gateway();
     assert_eq!(asked(&mut core, NEWER, 2_000, 2_300).len(), 1);
-    let actions = core.handle(Event::PeerBrokeOff { from: address(4), pull }, ms(2_300));
+    let actions =
+        core.handle(Event::ConfigurationPullAborted { from: address(4), pull }, ms(2_300));
     assert_eq!(pulls(&actions).len(), usize::from(is_asked));
 }
 
@@ -201,7 +202,7 @@
 fn nothing_is_asked_of_peers_while_the_own_read_brings_it() {
     let mut core = gateway();
     for at in (2_000..3_000).step_by(200) {
-        core.handle(Event::Reading, ms(at));
+        core.handle(Event::ConfigurationReadProgress, ms(at));
         assert!(asked(&mut core, NEWER, at, at + 200).is_empty(), "{at}");
     }
     assert_eq!(asked(&mut core, NEWER, 3_000, 3_100).len(), 1, "but not for ever");
@@ -210,7 +211,7 @@
 #[test]
 fn what_was_read_whole_is_not_asked_of_peers_before_it_is_handed_over() {
     let mut core = gateway();
-    core.handle(Event::Reading, ms(2_000));
+    core.handle(Event::ConfigurationReadProgress, ms(2_000));
     assert!(asked(&mut core, NEWER, 2_000, 2_300).is_empty());
     let read = StoreRead {
         subject: StoreRead::CONFIGURATION,
@@ -226,10 +227,10 @@
     assert!(pulls(&core.handle(Event::StoreRead(read), ms(2_300))).is_empty());
     let document = Document::Deployment(deployment(2, Vec::new()).into());
     let documents = vec![Revised { position: position(3), made: 0, document }];
-    core.handle(Event::Published { documents, whole_at: None }, ms(2_301));
+    core.handle(Event::Published { documents, snapshot_at: None }, ms(2_301));
     assert!(asked(&mut core, NEWER, 2_305, 4_000).is_empty());
     let lost = StoreRead { outcome: "torn", ..read };
-    core.handle(Event::Reading, ms(4_000));
+    core.handle(Event::ConfigurationReadProgress, ms(4_000));
     let newer = Seen { version: 3, endpoints: position(2) };
     assert!(asked(&mut core, newer, 4_000, 4_200).is_empty());
     assert_eq!(pulls(&core.handle(Event::StoreRead(lost), ms(4_200))).len(), 1, "at once");
@@ -244,7 +245,7 @@
     for at in (2_300..2_600).step_by(5) {
         let actions = core.handle(beat(5, at, more), ms(at));
         found = found.or(actions.into_iter().find_map(|a| match a {
-            Action::Tell { message: PeerMessage::Pull { seen, configuration, .. }, .. } => {
+            Action::Send { message: PeerMessage::Pull { seen, configuration, .. }, .. } => {
                 Some((at, seen.endpoints, configuration))
             }
             _ => None,
@@ -266,7 +267,7 @@
             count += 1;
             let message =
                 PeerMessage::Documents { documents: Vec::new(), complete: true, seen: 9, era: 0 };
-            core.handle(Event::Peer { from: to, message }, ms(at));
+            core.handle(Event::PeerMessage { from: to, message }, ms(at));
         }
     }
     assert_eq!(count, 1, "pulls in 10 s");
@@ -285,7 +286,7 @@
         times.push(at);
         let deployment = deployment(seen.version, Vec::new()).into();
         let message = PeerMessage::Configuration { revision: at, deployment, pull: 0, era: 0 };
-        core.handle(Event::Peer { from: address(4), message }, ms(at));
+        core.handle(Event::PeerMessage { from: address(4), message }, ms(at));
         assert_eq!(core.table().deployment.version, seen.version, "the newest");
     }
     assert!(times.windows(2).all(|w| w[1] - w[0] >= 700), "{times:?}");
--- a/tests/direct_quarantine.rs
+++ b/tests/direct_quarantine.rs
@@ -12,8 +12,8 @@
 use stackmast::actor::Core;
 use stackmast::direct::answers::CallFailure;
 use stackmast::direct::core::GatewayCore;
-use stackmast::direct::event::{Action, Event, Incoming, Refused};
-use stackmast::direct::note::Note;
+use stackmast::direct::event::{Action, Event, IncomingRequest, Refused};
+use stackmast::direct::log_events::LogEvent;
 use stackmast::direct::peers::members::Member;
 use stackmast::direct::peers::message::PeerMessage;
 use stackmast::direct::poison::Run;
@@ -25,8 +25,8 @@
     Fingerprint::of_content("POST", "/r/x", b"poison")
 }
 
-fn poison(route: &str, pieces: Vec<usize>) -> Incoming {
-    Incoming { content: content(), ..incoming(route, pieces) }
+fn poison(route: &str, pieces: Vec<usize>) -> IncomingRequest {
+    IncomingRequest { content: content(), ..incoming(route, pieces) }
 }
 
 fn core() -> GatewayCore {
@@ -49,13 +49,13 @@
     let number = if &*id == "engine-1" { 1 } else { 2 };
     let back = Endpoint { incarnation: 100 + caller, ..(*endpoint("engine", number)).clone() };
     let documents = listed(&[Arc::new(back)], 10 + caller);
-    core.handle(Event::Published { documents, whole_at: None }, now + ms(20));
+    core.handle(Event::Published { documents, snapshot_at: None }, now + ms(20));
     actions
 }
 
 fn told(actions: &[Action]) -> Vec<&PeerMessage> {
     let messages = actions.iter().filter_map(|a| match a {
-        Action::Tell { message, .. } | Action::Spread { message, .. } => Some(message),
+        Action::Send { message, .. } | Action::Broadcast { message, .. } => Some(message),
         _ => None,
     });
     messages.collect()
@@ -83,7 +83,7 @@
     crash(&mut core, 1, ms(1_000));
     let because = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
-            Action::Note(Note::Sent { because, .. }) => Some(because.clone()),
+            Action::Log(LogEvent::Sent { because, .. }) => Some(because.clone()),
             _ => None,
         })
     };
@@ -92,7 +92,7 @@
     let attempt = calls(&actions)[0].0;
     let event = Event::Answered { caller: 2, attempt, proof: good(), is_open: false };
     let actions = core.handle(event, ms(2_100));
-    assert!(actions.iter().any(|a| matches!(a, Action::Note(Note::Cleared { .. }))));
+    assert!(actions.iter().any(|a| matches!(a, Action::Log(LogEvent::Cleared { .. }))));
     let actions = submit(&mut core, 3, poison("r", vec![]), ms(3_000));
     assert_eq!(because(&actions).as_deref(), Some("least_load"));
 }
@@ -114,7 +114,7 @@
     let actions = submit(&mut core, 1, poison("s", vec![1]), ms(1_000));
     assert!(refusal(&actions).is_none());
     let message = PeerMessage::Suspects(known().accounts(ms(0)));
-    let actions = core.handle(Event::Peer { from: address(2), message }, ms(1_050));
+    let actions = core.handle(Event::PeerMessage { from: address(2), message }, ms(1_050));
     let refusal = refusal(&actions).expect("nothing can come of it");
     assert_eq!((refusal.reason, refusal.not_run), (Refused::Poison, true));
     assert_eq!(core.in_flight(), 0, "its job is over, too");
@@ -130,14 +130,14 @@
     assert_eq!(told(&actions).into_iter().filter(asks).count(), 1);
     let ask = |core: &mut GatewayCore, digest: u64| {
         let message = PeerMessage::AskSuspects(digest);
-        core.handle(Event::Peer { from: address(2), message }, ms(3_300))
+        core.handle(Event::PeerMessage { from: address(2), message }, ms(3_300))
     };
     let tells = |actions: &[Action]| {
         told(actions).into_iter().any(|m| matches!(m, PeerMessage::Suspects(_)))
     };
     assert!(!tells(&ask(&mut core, 0)), "both know nothing");
     let message = PeerMessage::Suspects(known().accounts(ms(0)));
-    core.handle(Event::Peer { from: address(2), message }, ms(3_310));
+    core.handle(Event::PeerMessage { from: address(2), message }, ms(3_310));
     assert!(tells(&ask(&mut core, 0)));
     assert!(!tells(&ask(&mut core, known().digest())));
 }
@@ -148,7 +148,7 @@
     let mut asked = 0;
     for beat in 0..30u64 {
         let heard = Member { heartbeat: beat + 1, ..serving(2) };
-        let event = Event::Peer { from: address(2), message: gossip(vec![heard]) };
+        let event = Event::PeerMessage { from: address(2), message: gossip(vec![heard]) };
         let actions = core.handle(event, ms(beat * 200));
         asked += told(&actions).iter().filter(|m| matches!(m, PeerMessage::AskSuspects(_))).count();
     }
@@ -163,11 +163,14 @@
     let event = Event::Answered { caller: 1, attempt, proof: good(), is_open: true };
     core.handle(event, ms(1_010));
     let message = PeerMessage::Suspects(known().accounts(ms(0)));
-    let actions = core.handle(Event::Peer { from: address(2), message }, ms(1_050));
-    assert!(!actions.iter().any(|a| matches!(a, Action::Abort { .. })), "it may still run well");
+    let actions = core.handle(Event::PeerMessage { from: address(2), message }, ms(1_050));
+    assert!(
+        !actions.iter().any(|a| matches!(a, Action::AbortStream { .. })),
+        "it may still run well"
+    );
     let last_event = Some("3".to_owned());
-    let ended = Event::StreamEnded { caller: 1, attempt, whole: false, last_event };
+    let ended = Event::StreamEnded { caller: 1, attempt, is_complete: false, last_event };
     let actions = core.handle(ended, ms(1_060));
     assert!(calls(&actions).is_empty());
-    assert!(actions.iter().any(|a| matches!(a, Action::Abort { .. })));
+    assert!(actions.iter().any(|a| matches!(a, Action::AbortStream { .. })));
 }
--- a/tests/direct_requests.rs
+++ b/tests/direct_requests.rs
@@ -11,10 +11,10 @@
 };
 use directenv::{address, deployment, endpoint, ms, position, route};
 use stackmast::actor::Core;
-use stackmast::direct::answers::{CallFailure, Proof};
+use stackmast::direct::answers::{AnswerProof, CallFailure};
 use stackmast::direct::core::{GatewayCore, Setup};
-use stackmast::direct::event::{Action, Event, Generation, Incoming, Refused};
-use stackmast::direct::note::Note;
+use stackmast::direct::event::{Action, Event, Generation, IncomingRequest, Refused};
+use stackmast::direct::log_events::LogEvent;
 use stackmast::direct::peers::members::MemberState;
 use stackmast::direct::peers::message::{JobId, Made, PeerMessage};
 use stackmast::direct::published::documents::{Document, Revised};
@@ -25,7 +25,7 @@
 fn a_process_that_knows_nothing_is_not_ready_and_refuses_as_not_run() {
     let mut core = new_core();
     let actions = submit(&mut core, 1, incoming("r", Vec::new()), ms(0));
-    assert!(!actions.iter().any(|a| matches!(a, Action::Ready(true))));
+    assert!(!actions.iter().any(|a| matches!(a, Action::SetReady(true))));
     assert!(refusal(&actions).is_none(), "the configuration may be about to come");
     assert!(core.next_wakeup().is_some_and(|at| at <= ms(150)));
     assert!(refusal(&core.handle(Event::Tick, ms(149))).is_none());
@@ -34,14 +34,14 @@
     assert!(refusal.not_run && refusal.retry_after > Duration::ZERO);
     let actions =
         publish(&mut core, deployment(1, vec![route("r", Repeat::AtMostOnce, &[])]), ms(155));
-    assert!(actions.iter().any(|a| matches!(a, Action::Ready(true))));
+    assert!(actions.iter().any(|a| matches!(a, Action::SetReady(true))));
     assert!(calls(&actions).is_empty(), "what was refused never runs");
 }
 
 #[test]
 fn a_request_waits_for_the_configuration_within_a_part_of_its_time() {
     let mut core = new_core();
-    let request = Incoming { allowed: Some(ms(400)), ..incoming("r", Vec::new()) };
+    let request = IncomingRequest { timeout: Some(ms(400)), ..incoming("r", Vec::new()) };
     submit(&mut core, 1, request, ms(0));
     assert!(refusal(&core.handle(Event::Tick, ms(49))).is_none());
     assert!(refusal(&core.handle(Event::Tick, ms(50))).is_some());
@@ -52,15 +52,15 @@
     let mut core = new_core();
     submit(&mut core, 1, incoming("r", Vec::new()), ms(0));
     submit(&mut core, 2, incoming("r", Vec::new()), ms(1));
-    core.handle(Event::CallerGone { caller: 2 }, ms(2));
+    core.handle(Event::CallerDisconnected { caller: 2 }, ms(2));
     let actions =
         publish(&mut core, deployment(1, vec![route("r", Repeat::AtMostOnce, &[])]), ms(20));
     let waited =
-        |a: &&Action| matches!(a, Action::Note(Note::Waited { waited_ms: 20, known: true, .. }));
+        |a: &&Action| matches!(a, Action::Log(LogEvent::Waited { waited_ms: 20, known: true, .. }));
     assert_eq!(actions.iter().filter(waited).count(), 1, "on-call is told");
     let calls = calls(&actions);
     assert_eq!(calls.len(), 1, "not the one whose caller left");
-    assert_eq!(calls[0].1.allowed, ms(4_980), "counted from when it came");
+    assert_eq!(calls[0].1.timeout, ms(4_980), "counted from when it came");
 }
 
 #[test]
@@ -72,12 +72,13 @@
         route("staged", Repeat::AtMostOnce, &[("first", &[], 10)]),
     ];
     let actions = publish(&mut core, deployment(1, routes), ms(0));
-    let is_asked = actions.iter().any(|a| matches!(a, Action::AskReport(_)));
+    let is_asked = actions.iter().any(|a| matches!(a, Action::RequestReport(_)));
     assert!(is_asked, "it asks what its endpoints hold");
     let plain = submit(&mut core, 1, incoming("plain", Vec::new()), ms(1));
     assert_eq!(calls(&plain).len(), 1, "at once");
     submit(&mut core, 2, incoming("staged", vec![1]), ms(2));
-    let has_begun = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Batch { .. }));
+    let has_begun =
+        |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::CallBatch { .. }));
     assert!(!has_begun(&core.handle(Event::Tick, ms(24))));
     assert!(core.next_wakeup().is_some_and(|at| at <= ms(25)));
     assert!(has_begun(&core.handle(Event::Tick, ms(25))));
@@ -89,8 +90,8 @@
     let from = address(2);
     let hear = |core: &mut GatewayCore, now| {
         let message = gossip(vec![serving(2)]);
-        let actions = core.handle(Event::Peer { from, message }, now);
-        let told = |a: &&Action| matches!(a, Action::Tell { to, message: PeerMessage::Gossip { .. } } if *to == from);
+        let actions = core.handle(Event::PeerMessage { from, message }, now);
+        let told = |a: &&Action| matches!(a, Action::Send { to, message: PeerMessage::Gossip { .. } } if *to == from);
         actions.iter().filter(told).count()
     };
     core.handle(Event::Tick, ms(10));
@@ -102,7 +103,7 @@
 #[test_case("r", "nobody's", &Refused::UnknownKey; "no such key")]
 fn what_the_configuration_does_not_allow_is_refused(path: &str, key: &str, expected: &Refused) {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
-    let request = Incoming { key: Some(key.to_owned()), ..incoming(path, Vec::new()) };
+    let request = IncomingRequest { key: Some(key.to_owned()), ..incoming(path, Vec::new()) };
     let actions = submit(&mut core, 1, request, ms(0));
     assert_eq!(&refusal(&actions).expect("refused").reason, expected);
     assert!(calls(&actions).is_empty());
@@ -115,9 +116,9 @@
     long.name = "long".into();
     long.timeout = ms(77);
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[]), long]);
-    let request = Incoming { path: "/r/x/y".to_owned(), ..incoming("r", Vec::new()) };
+    let request = IncomingRequest { path: "/r/x/y".to_owned(), ..incoming("r", Vec::new()) };
     let actions = submit(&mut core, 1, request, ms(0));
-    assert_eq!(calls(&actions)[0].1.allowed, ms(77), "the time-out of the longer prefix");
+    assert_eq!(calls(&actions)[0].1.timeout, ms(77), "the time-out of the longer prefix");
 }
 
 #[test]
@@ -132,9 +133,9 @@
     assert!(!is_delivered(&core.handle(answered(attempt, good()), ms(21))), "once");
 }
 
-#[test_case(Proof { signed: false, ..good() }; "without signature")]
-#[test_case(Proof { own: false, ..good() }; "another request's")]
-fn a_success_that_is_not_proved_is_no_answer(proof: Proof) {
+#[test_case(AnswerProof { signed: false, ..good() }; "without signature")]
+#[test_case(AnswerProof { names_request: false, ..good() }; "another request's")]
+fn a_success_that_is_not_proved_is_no_answer(proof: AnswerProof) {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
     let attempt = calls(&submit(&mut core, 1, incoming("r", Vec::new()), ms(0)))[0].0;
     let actions = core.handle(answered(attempt, proof), ms(20));
@@ -178,7 +179,7 @@
             parts: vec![("shared".into(), 9), ("own".into(), 1)],
             ..Generation::default()
         };
-        let request = Incoming { generation: Some(prompt), ..incoming("r", Vec::new()) };
+        let request = IncomingRequest { generation: Some(prompt), ..incoming("r", Vec::new()) };
         let (_, order) = calls(&submit(&mut core, caller, request, ms(10)))[0].clone();
         assert_eq!(order.connections, 2);
         *counts.entry(order.endpoint.id.clone()).or_insert(0) += 1;
@@ -200,9 +201,9 @@
     assert_eq!(refusal(&actions).expect("given up").reason, Refused::OutcomeUnknown);
 }
 
-#[test_case(Proof { status: 503, not_run: true, ..Proof::default() }; "full")]
-#[test_case(Proof { status: 421, other_endpoint: true, ..Proof::default() }; "another life")]
-fn a_proof_that_it_did_not_run_lets_it_go_elsewhere(proof: Proof) {
+#[test_case(AnswerProof { status: 503, not_run: true, ..AnswerProof::default() }; "full")]
+#[test_case(AnswerProof { status: 421, from_other_endpoint: true, ..AnswerProof::default() }; "another life")]
+fn a_proof_that_it_did_not_run_lets_it_go_elsewhere(proof: AnswerProof) {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
     let (attempt, first) =
         calls(&submit(&mut core, 1, incoming("r", Vec::new()), ms(0)))[0].clone();
@@ -217,8 +218,9 @@
 fn a_caller_that_goes_away_stops_its_call() {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
     let attempt = calls(&submit(&mut core, 1, incoming("r", Vec::new()), ms(0)))[0].0;
-    let actions = core.handle(Event::CallerGone { caller: 1 }, ms(10));
-    let hung_up = |a: &Action| matches!(a, Action::Hangup { attempt: a, .. } if *a == attempt);
+    let actions = core.handle(Event::CallerDisconnected { caller: 1 }, ms(10));
+    let hung_up =
+        |a: &Action| matches!(a, Action::CancelAttempt { attempt: a, .. } if *a == attempt);
     assert!(actions.iter().any(hung_up));
     assert_eq!(core.in_flight(), 0);
 }
@@ -231,7 +233,7 @@
     submit(&mut core, 1, incoming("r", Vec::new()), ms(0));
     let actions = core.handle(Event::Tick, ms(300));
     assert_eq!(refusal(&actions).expect("answered").reason, Refused::TimedOut);
-    assert!(actions.iter().any(|a| matches!(a, Action::Hangup { .. })));
+    assert!(actions.iter().any(|a| matches!(a, Action::CancelAttempt { .. })));
 }
 
 #[test]
@@ -240,14 +242,14 @@
     let mut leaving = (*endpoint("engine", 1)).clone();
     leaving.leaving = true;
     let documents = listed(&[Arc::new(leaving)], 3);
-    core.handle(Event::Published { documents, whole_at: None }, ms(1));
+    core.handle(Event::Published { documents, snapshot_at: None }, ms(1));
     for caller in 1..=4 {
         let actions = submit(&mut core, caller, incoming("r", Vec::new()), ms(2));
         assert_eq!(&*calls(&actions)[0].1.endpoint.id, "engine-2");
     }
     let document = Document::Gone("engine-2".into());
     let documents = vec![Revised { position: position(4), made: 0, document }];
-    core.handle(Event::Published { documents, whole_at: None }, ms(3));
+    core.handle(Event::Published { documents, snapshot_at: None }, ms(3));
     let actions = submit(&mut core, 9, incoming("r", Vec::new()), ms(4));
     assert_eq!(refusal(&actions).expect("nowhere").reason, Refused::NoEndpoint);
 }
@@ -262,7 +264,7 @@
         let actions = submit(&mut core, 1, incoming("r", Vec::new()), ms(at));
         let (attempt, order) = calls(&actions)[0].clone();
         failed.insert(order.endpoint.id.clone());
-        let proof = Proof { status, ..good() };
+        let proof = AnswerProof { status, ..good() };
         let actions = core.handle(answered(attempt, proof), ms(at + 5));
         assert!(is_delivered(&actions), "it is its answer all the same");
     }
@@ -281,9 +283,9 @@
     let attempt = calls(&submit(&mut core, 1, incoming("r", Vec::new()), ms(0)))[0].0;
     core.handle(Event::Answered { caller: 1, attempt, proof: good(), is_open: true }, ms(50));
     let last_event = Some("7".to_owned());
-    let ended = Event::StreamEnded { caller: 1, attempt, whole: false, last_event };
+    let ended = Event::StreamEnded { caller: 1, attempt, is_complete: false, last_event };
     let actions = core.handle(ended, ms(90));
-    assert_eq!(actions.iter().any(|a| matches!(a, Action::Abort { .. })), !goes_on);
+    assert_eq!(actions.iter().any(|a| matches!(a, Action::AbortStream { .. })), !goes_on);
     let resumed: Vec<_> = calls(&actions).into_iter().map(|(_, o)| o.after_event).collect();
     assert_eq!(resumed, if goes_on { vec![Some("7".to_owned())] } else { Vec::new() });
 }
@@ -292,7 +294,7 @@
 fn a_stopping_gateway_is_not_ready_and_refuses_after_a_while_as_not_run() {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
     let actions = core.handle(Event::Drain { at: ms(100) }, ms(100));
-    assert!(actions.iter().any(|a| matches!(a, Action::Ready(false))));
+    assert!(actions.iter().any(|a| matches!(a, Action::SetReady(false))));
     assert_eq!(calls(&submit(&mut core, 1, incoming("r", Vec::new()), ms(500))).len(), 1);
     let actions = submit(&mut core, 2, incoming("r", Vec::new()), ms(6_000));
     let refusal = refusal(&actions).expect("refused");
@@ -315,7 +317,7 @@
         let mut core = configured(vec![route.clone()]);
         hear_of(&mut core, vec![serving(port)], ms(1));
         let actions = submit(&mut core, 1, incoming("r", vec![1, 1]), ms(2));
-        let is_submitted = |a: &Action| matches!(a, Action::Tell { to, message: PeerMessage::Submit(_) } if *to == address(port));
+        let is_submitted = |a: &Action| matches!(a, Action::Send { to, message: PeerMessage::Submit(_) } if *to == address(port));
         if actions.iter().any(is_submitted) {
             return (core, port);
         }
@@ -325,7 +327,7 @@
 
 fn pieces_sent(actions: &[Action]) -> Vec<(usize, usize)> {
     let calls = actions.iter().filter_map(|a| match a {
-        Action::Batch { pieces, .. } => Some(pieces.iter().map(|p| (p.stage, p.inputs.len()))),
+        Action::CallBatch { pieces, .. } => Some(pieces.iter().map(|p| (p.stage, p.inputs.len()))),
         _ => None,
     });
     calls.flatten().collect()
@@ -343,17 +345,17 @@
     let (mut core, port) = beside_an_owner(&route);
     let (job, from) = (job_of_one(), address(port));
     let accepted = PeerMessage::Accepted(job);
-    core.handle(Event::Peer { from, message: accepted }, ms(3));
+    core.handle(Event::PeerMessage { from, message: accepted }, ms(3));
     let made = Made { handle: "h".into(), endpoint: "first-1".into() };
     let done = PeerMessage::StageDone { job, stage: 0, results: vec![made] };
-    core.handle(Event::Peer { from, message: done }, ms(300));
+    core.handle(Event::PeerMessage { from, message: done }, ms(300));
     (core, from)
 }
 
 #[test]
 fn what_a_lost_owner_had_goes_on_at_once_with_what_was_made() {
     let (mut core, owner) = with_one_stage_made();
-    let broke = Event::PeerBroke { address: owner, incarnation: 5 };
+    let broke = Event::PeerInboundFailed { address: owner, incarnation: 5 };
     core.handle(broke, ms(400));
     let actions = core.handle(Event::PeerUnreachable { address: owner }, ms(401));
     assert_eq!(pieces_sent(&actions), [(1, 1)], "the second stage, with the first one's result");
@@ -365,22 +367,24 @@
     let mut restarted = serving(owner.port());
     (restarted.incarnation, restarted.state) = (6, MemberState::Starting);
     let message = Says { members: vec![restarted], ..Says::default() }.message();
-    let actions = core.handle(Event::Peer { from: owner, message }, ms(400));
+    let actions = core.handle(Event::PeerMessage { from: owner, message }, ms(400));
     assert_eq!(pieces_sent(&actions), [(1, 1)]);
 }
 
-#[test_case(Event::PeerReset { address: address(0) }; "the connection to it")]
-#[test_case(Event::PeerBroke { address: address(0), incarnation: 5 }; "the connection from it")]
+#[test_case(Event::PeerOutboundFailed { address: address(0) }; "the connection to it")]
+#[test_case(Event::PeerInboundFailed { address: address(0), incarnation: 5 }; "the connection from it")]
 fn an_owner_whose_connection_was_reset_keeps_what_it_has_and_tells_it_again(event: Event) {
     let (mut core, owner) = with_one_stage_made();
     let event = match event {
-        Event::PeerBroke { incarnation, .. } => Event::PeerBroke { address: owner, incarnation },
-        _ => Event::PeerReset { address: owner },
+        Event::PeerInboundFailed { incarnation, .. } => {
+            Event::PeerInboundFailed { address: owner, incarnation }
+        }
+        _ => Event::PeerOutboundFailed { address: owner },
     };
     let actions = core.handle(event, ms(400));
     assert!(pieces_sent(&actions).is_empty(), "nobody else begins it");
     let submitted = actions.iter().any(|a| match a {
-        Action::Tell { to, message: PeerMessage::Submit(job) } => {
+        Action::Send { to, message: PeerMessage::Submit(job) } => {
             *to == owner && job.id == job_of_one() && job.stages[0].done.len() == 1
         }
         _ => false,
@@ -399,7 +403,7 @@
     let actions = core.handle(Event::Tick, ms(700));
     assert!(pieces_sent(&actions).is_empty(), "its timer is as late as the answer");
     let accepted = PeerMessage::Accepted(job_of_one());
-    core.handle(Event::Peer { from: address(port), message: accepted }, ms(701));
+    core.handle(Event::PeerMessage { from: address(port), message: accepted }, ms(701));
     assert!(pieces_sent(&core.handle(Event::Tick, ms(955))).is_empty());
 }
 
@@ -408,7 +412,7 @@
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10), ("second", &[0], 10)]);
     let (mut core, port) = beside_an_owner(&route);
     let actions = core.handle(Event::Tick, ms(260));
-    let is_released = |a: &Action| matches!(a, Action::Tell { to, message: PeerMessage::Release(_) } if *to == address(port));
+    let is_released = |a: &Action| matches!(a, Action::Send { to, message: PeerMessage::Release(_) } if *to == address(port));
     assert!(actions.iter().any(is_released), "the silent one is told that it need not");
     assert_eq!(pieces_sent(&actions), [(0, 0)], "and the next one begins");
 }
@@ -416,7 +420,7 @@
 #[test]
 fn an_endpoint_that_does_not_tell_how_it_stands_leaves_a_line() {
     let mut core = configured(vec![]);
-    let actions = core.handle(Event::NoReport { endpoint: "first-1".into() }, ms(1));
-    let is_told = |a: &Action| matches!(a, Action::Note(Note::NoReport { endpoint }) if **endpoint == *"first-1");
+    let actions = core.handle(Event::ReportFailed { endpoint: "first-1".into() }, ms(1));
+    let is_told = |a: &Action| matches!(a, Action::Log(LogEvent::NoReport { endpoint }) if **endpoint == *"first-1");
     assert!(actions.iter().any(is_told));
 }
--- a/tests/direct_restarts.rs
+++ b/tests/direct_restarts.rs
@@ -8,10 +8,12 @@
 use directenv::gateway::{answered, calls, good, incoming, is_delivered, listed, refusal, submit};
 use directenv::{endpoint, job, ms, position, route, table};
 use stackmast::actor::Core;
-use stackmast::direct::answers::{BatchOutcome, BatchReport, CallFailure, PieceOutcome, Proof};
+use stackmast::direct::answers::{
+    AnswerProof, BatchOutcome, BatchReport, CallFailure, PieceOutcome,
+};
 use stackmast::direct::core::GatewayCore;
 use stackmast::direct::event::{Action, Event, Refused};
-use stackmast::direct::note::Note;
+use stackmast::direct::log_events::LogEvent;
 use stackmast::direct::owner::scheduler::Scheduler;
 use stackmast::direct::published::documents::{Document, Documents, Revised};
 use stackmast::direct::published::model::{Endpoint, Repeat};
@@ -57,7 +59,7 @@
         entry(7, 3),
         Revised { position: position(4), made: 0, document: Document::Gone("engine-2".into()) },
     ];
-    core.handle(Event::Published { documents, whole_at: None }, ms(1));
+    core.handle(Event::Published { documents, snapshot_at: None }, ms(1));
     let actions = submit(&mut core, 1, incoming("r", Vec::new()), ms(2));
     let attempt = calls(&actions)[0].0;
     (core, attempt)
@@ -65,14 +67,14 @@
 
 fn restart(core: &mut GatewayCore, revision: u64, now: Duration) -> Vec<Action> {
     let documents = listed(&[living("engine", 1, 9)], revision);
-    core.handle(Event::Published { documents, whole_at: None }, now)
+    core.handle(Event::Published { documents, snapshot_at: None }, now)
 }
 
 #[test]
 fn what_may_not_run_twice_and_was_with_the_life_before_may_have_run() {
     let (mut core, attempt) = called(Repeat::AtMostOnce);
     let actions = restart(&mut core, 5, ms(50));
-    let noted = |a: &&Action| matches!(a, Action::Note(Note::Restarted { incarnation: 9, .. }));
+    let noted = |a: &&Action| matches!(a, Action::Log(LogEvent::Restarted { incarnation: 9, .. }));
     assert_eq!(actions.iter().filter(noted).count(), 1);
     let refusal = refusal(&actions).expect("its answer never comes");
     assert_eq!((refusal.reason, refusal.not_run), (Refused::OutcomeUnknown, false));
@@ -84,7 +86,7 @@
 fn what_may_run_twice_is_sent_again_elsewhere() {
     let (mut core, _) = called(Repeat::Idempotent);
     let documents = listed(&[living("engine", 2, 3)], 6);
-    core.handle(Event::Published { documents, whole_at: None }, ms(10));
+    core.handle(Event::Published { documents, snapshot_at: None }, ms(10));
     let actions = restart(&mut core, 7, ms(50));
     assert_eq!(&*calls(&actions)[0].1.endpoint.id, "engine-2");
 }
@@ -94,16 +96,20 @@
     let (mut core, attempt) = called(Repeat::Idempotent);
     core.handle(Event::Answered { caller: 1, attempt, proof: good(), is_open: true }, ms(20));
     let actions = restart(&mut core, 5, ms(50));
-    assert!(!actions.iter().any(|a| matches!(a, Action::Abort { .. } | Action::Hangup { .. })));
+    assert!(
+        !actions
+            .iter()
+            .any(|a| matches!(a, Action::AbortStream { .. } | Action::CancelAttempt { .. }))
+    );
 }
 
 #[test]
 fn load_and_failures_of_the_life_before_are_forgotten() {
     let (mut core, attempt) = called(Repeat::Idempotent);
-    let full = Proof { load: Some((64, 64, 64)), ..good() };
+    let full = AnswerProof { load: Some((64, 64, 64)), ..good() };
     core.handle(answered(attempt, full), ms(5));
     let documents = listed(&[living("engine", 2, 3)], 6);
-    core.handle(Event::Published { documents, whole_at: None }, ms(6));
+    core.handle(Event::Published { documents, snapshot_at: None }, ms(6));
     let chosen = |core: &mut GatewayCore, caller, now| {
         let actions = submit(core, caller, incoming("r", Vec::new()), now);
         calls(&actions)[0].1.endpoint.id.to_string()
@@ -121,7 +127,7 @@
 
 fn batches(actions: &[Action]) -> Vec<(u64, String, Vec<usize>)> {
     let batches = actions.iter().filter_map(|a| match a {
-        Action::Batch { call, endpoint, pieces, .. } => {
+        Action::CallBatch { call, endpoint, pieces, .. } => {
             let stages = pieces.iter().map(|p| p.stage).collect();
             Some((*call, endpoint.id.to_string(), stages))
         }
@@ -187,6 +193,6 @@
     let report = BatchReport { free_bytes: 0, waiting: 0, incarnation };
     scheduler.reported(&"first-1".into(), report, &table, ms(0));
     let actions = scheduler.actions(&table, ms(0));
-    let is_reported = |a: &Action| matches!(a, Action::Note(Note::Reported { .. }));
+    let is_reported = |a: &Action| matches!(a, Action::Log(LogEvent::ReportReceived { .. }));
     assert_eq!(actions.iter().any(is_reported), is_taken);
 }
--- a/tests/direct_results.rs
+++ b/tests/direct_results.rs
@@ -8,10 +8,10 @@
 use directenv::gateway::{answered, calls, configured, good, incoming, submit};
 use directenv::{ms, route};
 use stackmast::actor::Core;
-use stackmast::direct::answers::{BatchOutcome, CallFailure, PieceOutcome, Proof};
+use stackmast::direct::answers::{AnswerProof, BatchOutcome, CallFailure, PieceOutcome};
 use stackmast::direct::core::GatewayCore;
 use stackmast::direct::event::{Action, Event};
-use stackmast::direct::note::Note;
+use stackmast::direct::log_events::LogEvent;
 use stackmast::direct::published::model::{Repeat, Route};
 
 /// Makes two stages of the only request; gives what follows and when.
@@ -26,7 +26,7 @@
         let (call, count) = actions
             .iter()
             .find_map(|a| match a {
-                Action::Batch { call, pieces, .. } => Some((*call, pieces.len())),
+                Action::CallBatch { call, pieces, .. } => Some((*call, pieces.len())),
                 _ => None,
             })
             .expect("a call");
@@ -45,7 +45,7 @@
 }
 
 fn frees(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Free { .. }))
+    actions.iter().any(|a| matches!(a, Action::FreeResults { .. }))
 }
 
 #[test]
@@ -59,9 +59,9 @@
     core.handle(Event::Answered { caller: 1, attempt, proof, is_open: true }, now + ms(50));
     let actions = core.handle(Event::FirstEvent { caller: 1 }, now + ms(51));
     assert!(frees(&actions));
-    let ended = Event::StreamEnded { caller: 1, attempt, whole: true, last_event: None };
+    let ended = Event::StreamEnded { caller: 1, attempt, is_complete: true, last_event: None };
     let actions = core.handle(ended, now + ms(300));
-    assert!(actions.iter().any(|a| matches!(a, Action::Finish { .. })));
+    assert!(actions.iter().any(|a| matches!(a, Action::EndStream { .. })));
     assert_eq!(core.in_flight(), 0);
 }
 
@@ -84,7 +84,7 @@
         assert_eq!(at_last, early.is_none(), "freed once");
         freed.push(early.unwrap_or(first_event));
         core.handle(
-            Event::StreamEnded { caller, attempt, whole: true, last_event: None },
+            Event::StreamEnded { caller, attempt, is_complete: true, last_event: None },
             now + ms(20),
         );
         now += ms(300);
@@ -126,10 +126,10 @@
     let (attempt, _) = calls(&actions)[0].clone();
     core.handle(Event::CallSent { caller: 1, attempt }, now + ms(10));
     assert!(frees(&core.handle(Event::Tick, now + ms(72))));
-    let proof = Proof { status: 409, not_run: true, ..Proof::default() };
+    let proof = AnswerProof { status: 409, not_run: true, ..AnswerProof::default() };
     let actions = core.handle(answered(attempt, proof), now + ms(80));
     let told = |a: &Action| match a {
-        Action::Note(Note::ResultsGone { ordered_ms, sent_ms, freed, .. }) => {
+        Action::Log(LogEvent::ResultsGone { ordered_ms, sent_ms, freed, .. }) => {
             Some((*ordered_ms, *sent_ms, *freed))
         }
         _ => None,
--- a/tests/direct_scheduler.rs
+++ b/tests/direct_scheduler.rs
@@ -7,7 +7,7 @@
 
 use directenv::{address, batch, deployment, endpoint, endpoints, job, job_id, ms, route, table};
 use stackmast::direct::answers::{BatchOutcome, BatchReport, CallFailure, PieceOutcome};
-use stackmast::direct::event::{Action, PieceOrder};
+use stackmast::direct::event::{Action, PieceSpec};
 use stackmast::direct::owner::makers::Usage;
 use stackmast::direct::owner::scheduler::Scheduler;
 use stackmast::direct::peers::message::{Job, JobReason, PeerMessage};
@@ -20,9 +20,9 @@
 }
 
 /// Calls among actions: id, endpoint, pieces.
-fn calls(actions: &[Action]) -> Vec<(u64, String, Vec<PieceOrder>)> {
+fn calls(actions: &[Action]) -> Vec<(u64, String, Vec<PieceSpec>)> {
     let calls = actions.iter().filter_map(|a| match a {
-        Action::Batch { call, endpoint, pieces, .. } => {
+        Action::CallBatch { call, endpoint, pieces, .. } => {
             Some((*call, endpoint.id.to_string(), pieces.clone()))
         }
         _ => None,
@@ -32,7 +32,7 @@
 
 fn told(actions: &[Action]) -> Vec<PeerMessage> {
     let told = actions.iter().filter_map(|a| match a {
-        Action::Tell { message, .. } => Some(message.clone()),
+        Action::Send { message, .. } => Some(message.clone()),
         _ => None,
     });
     told.collect()
@@ -40,7 +40,7 @@
 
 fn freed(actions: &[Action]) -> Vec<String> {
     let freed = actions.iter().filter_map(|a| match a {
-        Action::Free { handles, .. } => Some(handles.iter().map(ToString::to_string)),
+        Action::FreeResults { handles, .. } => Some(handles.iter().map(ToString::to_string)),
         _ => None,
     });
     freed.flatten().collect()
@@ -338,7 +338,7 @@
 /// Endpoints that were asked how they stand.
 fn asked(actions: &[Action]) -> Vec<String> {
     let asked = actions.iter().filter_map(|a| match a {
-        Action::AskReport(endpoint) => Some(endpoint.id.to_string()),
+        Action::RequestReport(endpoint) => Some(endpoint.id.to_string()),
         _ => None,
     });
     asked.collect()
--- a/tests/direct_standstill.rs
+++ b/tests/direct_standstill.rs
@@ -19,7 +19,7 @@
 use stackmast::direct::answers::{BatchOutcome, BatchReport, PieceOutcome};
 use stackmast::direct::core::GatewayCore;
 use stackmast::direct::event::{Action, Event, Refused};
-use stackmast::direct::note::Note;
+use stackmast::direct::log_events::LogEvent;
 use stackmast::direct::peers::message::PeerMessage;
 use stackmast::direct::published::model::Repeat;
 
@@ -41,11 +41,11 @@
     type Action = ();
     const TICK: () = ();
 
-    fn stood_still(&mut self, for_so_long: Duration, _now: Duration) {
-        self.0.send(("stood still", for_so_long)).ok();
+    fn on_suspension(&mut self, duration: Duration, _now: Duration) {
+        self.0.send(("stood still", duration)).ok();
     }
 
-    fn waits(&mut self, waited: Duration, _now: Duration) {
+    fn on_queue_delay(&mut self, waited: Duration, _now: Duration) {
         self.0.send(("waited", waited)).ok();
     }
 
@@ -105,14 +105,14 @@
 }
 
 fn lost(actions: &[Action]) -> usize {
-    let is_lost = |a: &&Action| matches!(a, Action::Note(Note::Peer { alive: false, .. }));
+    let is_lost = |a: &&Action| matches!(a, Action::Log(LogEvent::Peer { alive: false, .. }));
     actions.iter().filter(is_lost).count()
 }
 
 /// The process stands still from one time to another.
 fn stand_still(core: &mut GatewayCore, from: Duration, to: Duration) -> Vec<Action> {
     core.handle(Event::Tick, from);
-    core.stood_still(to - from, to);
+    core.on_suspension(to - from, to);
     core.handle(Event::Tick, to)
 }
 
@@ -123,7 +123,7 @@
     let actions = stand_still(&mut core, ms(1_200), ms(6_200));
     assert_eq!(lost(&actions), 0);
     let is_told =
-        |a: &&Action| matches!(a, Action::Spread { message: PeerMessage::Gossip { .. }, .. });
+        |a: &&Action| matches!(a, Action::Broadcast { message: PeerMessage::Gossip { .. }, .. });
     assert_eq!(actions.iter().filter(is_told).count(), 1, "it tells at once that it is there");
     assert_eq!(lost(&core.handle(Event::Tick, ms(6_900))), 0);
     assert_eq!(lost(&core.handle(Event::Tick, ms(7_100))), 2, "who says nothing since is gone");
@@ -145,7 +145,7 @@
     stand_still(&mut core, ms(1_100), ms(3_600));
     let again = calls(&core.handle(Event::Tick, ms(3_700)));
     assert_eq!(again.len(), 1);
-    assert_eq!(again[0].1.allowed, ms(2_300), "its caller's time went on");
+    assert_eq!(again[0].1.timeout, ms(2_300), "its caller's time went on");
     stand_still(&mut core, ms(3_700), ms(8_700));
     let refused = refusal(&core.handle(Event::Tick, ms(8_800))).expect("its time is over");
     assert_eq!((refused.reason, refused.not_run), (Refused::TimedOut, false));
@@ -158,7 +158,7 @@
     let actions = submit(&mut core, 1, incoming("s", vec![1]), ms(1_000));
     let batch = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
-            Action::Batch { call, .. } => Some(*call),
+            Action::CallBatch { call, .. } => Some(*call),
             _ => None,
         })
     };
@@ -168,7 +168,7 @@
     let outcome = BatchOutcome::Pieces(vec![PieceOutcome::Made("h".into())]);
     let actions = core.handle(Event::BatchEnded { call, outcome }, ms(4_110));
     assert_eq!(calls(&actions).len(), 1, "the request runs");
-    let is_slow = |a: &Action| matches!(a, Action::Note(Note::Suspicion { .. }));
+    let is_slow = |a: &Action| matches!(a, Action::Log(LogEvent::Suspicion { .. }));
     assert!(!actions.iter().any(is_slow), "the endpoint was not slow, this process stood still");
 }
 
@@ -180,8 +180,9 @@
     let told = |core: &mut GatewayCore, now: Duration| {
         let report = BatchReport { free_bytes: 10, waiting: 0, incarnation: 0 };
         let endpoint = "first-1".into();
-        let actions = core.handle(Event::Reported { endpoint, report, asked: ms(1_000) }, now);
-        actions.iter().any(|a| matches!(a, Action::Note(Note::Reported { .. })))
+        let actions =
+            core.handle(Event::ReportReceived { endpoint, report, requested_at: ms(1_000) }, now);
+        actions.iter().any(|a| matches!(a, Action::Log(LogEvent::ReportReceived { .. })))
     };
     assert!(told(&mut core, ms(1_010)));
     stand_still(&mut core, ms(1_100), ms(4_100));
