--- a/tests/direct_stops.rs
+++ b/tests/direct_stops.rs
@@ -7,9 +7,9 @@
 use directenv::gateway::{calls, configured, good, hear_of, incoming, refusal, serving, submit};
 use directenv::{address, job, ms, route};
 use stackmast::actor::Core;
-use stackmast::direct::answers::{BatchOutcome, PieceOutcome, Proof};
+use stackmast::direct::answers::{AnswerProof, BatchOutcome, PieceOutcome};
 use stackmast::direct::core::GatewayCore;
-use stackmast::direct::event::{Action, Event, Incoming, Refused};
+use stackmast::direct::event::{Action, Event, IncomingRequest, Refused};
 use stackmast::direct::peers::members::{Member, MemberState};
 use stackmast::direct::peers::message::{Job, JobId, JobReason, Made, PeerMessage};
 use stackmast::direct::published::model::{Repeat, Route};
@@ -32,8 +32,8 @@
 }
 
 /// A request that waits for twenty seconds.
-fn patient(route: &str, pieces: Vec<usize>) -> Incoming {
-    Incoming { allowed: Some(Duration::from_secs(20)), ..incoming(route, pieces) }
+fn patient(route: &str, pieces: Vec<usize>) -> IncomingRequest {
+    IncomingRequest { timeout: Some(Duration::from_secs(20)), ..incoming(route, pieces) }
 }
 
 /// Serves one stream of this length.
@@ -42,7 +42,7 @@
     let attempt = calls(&submit(core, caller, patient(name, Vec::new()), now))[0].0;
     let head = Event::Answered { caller, attempt, proof: good(), is_open: true };
     core.handle(head, now + length.min(ms(100)));
-    let ended = Event::StreamEnded { caller, attempt, whole: true, last_event: None };
+    let ended = Event::StreamEnded { caller, attempt, is_complete: true, last_event: None };
     core.handle(ended, now + length);
     assert_eq!(core.in_flight(), 0);
 }
@@ -78,7 +78,7 @@
     }
     let actions = submit(&mut core, 5, patient("plain", Vec::new()), now);
     assert_eq!(calls(&actions).len(), 1, "nobody else serves, and it ends by all experience");
-    let hasty = Incoming { allowed: Some(ms(4_000)), ..patient("short", Vec::new()) };
+    let hasty = IncomingRequest { timeout: Some(ms(4_000)), ..patient("short", Vec::new()) };
     assert_eq!(calls(&submit(&mut core, 6, hasty, now)).len(), 1, "its time is over by then");
 }
 
@@ -93,7 +93,7 @@
         core.handle(Event::Drain { at: SIGNAL }, SIGNAL);
         hear_of(&mut core, vec![owner], submitted);
         let actions = submit(&mut core, 3, patient("s", vec![1]), submitted);
-        let is_submitted = |a: &Action| matches!(a, Action::Tell { to, message: PeerMessage::Submit(_) } if *to == address(port));
+        let is_submitted = |a: &Action| matches!(a, Action::Send { to, message: PeerMessage::Submit(_) } if *to == address(port));
         if actions.iter().any(is_submitted) {
             return (core, port);
         }
@@ -104,7 +104,7 @@
 /// The call that makes a piece.
 fn batch_call(actions: &[Action]) -> Option<u64> {
     actions.iter().find_map(|a| match a {
-        Action::Batch { call, .. } => Some(*call),
+        Action::CallBatch { call, .. } => Some(*call),
         _ => None,
     })
 }
@@ -121,7 +121,7 @@
     let attempt = calls(&core.handle(made(&actions), ms(8_300)))[0].0;
     let head = Event::Answered { caller: 2, attempt, proof: good(), is_open: true };
     core.handle(head, ms(8_400));
-    let ended = Event::StreamEnded { caller: 2, attempt, whole: true, last_event: None };
+    let ended = Event::StreamEnded { caller: 2, attempt, is_complete: true, last_event: None };
     core.handle(ended, ms(10_300));
     assert_eq!(core.in_flight(), 0);
 }
@@ -132,19 +132,22 @@
     let submitted = SIGNAL + ms(1_000);
     let (mut core, port) = beside_an_owner(submitted);
     let (from, job) = (address(port), JobId { gateway: address(1), incarnation: 1, number: 3 });
-    core.handle(Event::Peer { from, message: PeerMessage::Accepted(job) }, submitted + ms(3));
+    core.handle(
+        Event::PeerMessage { from, message: PeerMessage::Accepted(job) },
+        submitted + ms(3),
+    );
     let mut actions = Vec::new();
     for beat in 0..(after - 1_000) / 200 {
         let mut owner = serving(port);
         (owner.state, owner.heartbeat) = (MemberState::Leaving, 3 + beat);
         let now = submitted + ms(beat * 200 + 10);
         let message = directenv::gateway::gossip(vec![owner]);
-        actions.extend(core.handle(Event::Peer { from, message }, now));
+        actions.extend(core.handle(Event::PeerMessage { from, message }, now));
     }
     let made = Made { handle: "h".into(), endpoint: "first-1".into() };
     let done = PeerMessage::StageDone { job, stage: 0, results: vec![made] };
-    actions.extend(core.handle(Event::Peer { from, message: done }, SIGNAL + ms(after)));
-    let ready = Event::Peer { from, message: PeerMessage::Ready(job) };
+    actions.extend(core.handle(Event::PeerMessage { from, message: done }, SIGNAL + ms(after)));
+    let ready = Event::PeerMessage { from, message: PeerMessage::Ready(job) };
     actions.extend(core.handle(ready, SIGNAL + ms(after)));
     assert_eq!(calls(&actions).len(), usize::from(runs));
     assert_eq!(refused_as_not_run(&actions), !runs);
@@ -165,7 +168,7 @@
     for number in 100..300 {
         let now = ms(10_000 + number);
         let attempt = calls(&submit(&mut core, number, patient("plain", Vec::new()), now))[0].0;
-        let proof = Proof { status: 400, ..good() };
+        let proof = AnswerProof { status: 400, ..good() };
         let answer = Event::Answered { caller: number, attempt, proof, is_open: false };
         core.handle(answer, now + ms(5));
     }
@@ -207,10 +210,10 @@
     let head = Event::Answered { caller: 3, attempt, proof: good(), is_open: true };
     core.handle(head, sent + ms(100));
     let broke =
-        Event::StreamEnded { caller: 3, attempt, whole: false, last_event: Some("4".into()) };
+        Event::StreamEnded { caller: 3, attempt, is_complete: false, last_event: Some("4".into()) };
     let actions = core.handle(broke, SIGNAL + ms(7_000));
     assert!(calls(&actions).is_empty(), "it could not end");
-    assert!(actions.iter().any(|a| matches!(a, Action::Abort { caller: 3 })), "at once");
+    assert!(actions.iter().any(|a| matches!(a, Action::AbortStream { caller: 3 })), "at once");
 }
 
 #[test]
@@ -219,8 +222,8 @@
     let (from, job) = (address(30), job_of(30, ms(5_000)));
     hear_of(&mut core, vec![serving(30)], SIGNAL + ms(1_000));
     submit_job(&mut core, &job, SIGNAL + ms(1_100));
-    let actions = core.handle(Event::End, SIGNAL + ms(7_700));
-    let is_handed_back = |a: &Action| matches!(a, Action::Tell { to, message: PeerMessage::GivenUp { reason: JobReason::NotOwner, .. } } if *to == from);
+    let actions = core.handle(Event::Shutdown, SIGNAL + ms(7_700));
+    let is_handed_back = |a: &Action| matches!(a, Action::Send { to, message: PeerMessage::GivenUp { reason: JobReason::NotOwner, .. } } if *to == from);
     assert!(actions.iter().any(is_handed_back));
 }
 
@@ -270,7 +273,7 @@
     submit(&mut core, 1, patient("long", Vec::new()), SIGNAL - ms(500));
     core.handle(Event::Drain { at: SIGNAL }, SIGNAL);
     assert!(refusal(&core.handle(Event::Tick, SIGNAL + ms(7_000))).is_none(), "it may still end");
-    let actions = core.handle(Event::End, SIGNAL + ms(7_700));
+    let actions = core.handle(Event::Shutdown, SIGNAL + ms(7_700));
     assert!(!refusal(&actions).expect("answered").not_run, "it was sent");
     assert_eq!(core.in_flight(), 0);
 }
@@ -284,13 +287,13 @@
 
 fn submit_job(core: &mut GatewayCore, job: &Job, now: Duration) -> Vec<Action> {
     let message = PeerMessage::Submit(Box::new(job.clone()));
-    core.handle(Event::Peer { from: job.id.gateway, message }, now)
+    core.handle(Event::PeerMessage { from: job.id.gateway, message }, now)
 }
 
 /// What the gateway at this port is told of its jobs.
 fn told(actions: &[Action], port: u16) -> Vec<&PeerMessage> {
     let told = actions.iter().filter_map(|a| match a {
-        Action::Tell { to, message } if *to == address(port) => Some(message),
+        Action::Send { to, message } if *to == address(port) => Some(message),
         _ => None,
     });
     told.filter(|m| !matches!(m, PeerMessage::Gossip { .. })).collect()
@@ -372,7 +375,7 @@
         retry_after: Duration::ZERO,
     };
     let now = SIGNAL + ms(1_600);
-    let actions = core.handle(Event::Peer { from: address(3), message }, now);
+    let actions = core.handle(Event::PeerMessage { from: address(3), message }, now);
     assert!(batch_call(&actions).is_some(), "{actions:?}");
     let other = job_of(3, ms(500));
     let actions = submit_job(&mut core, &other, now);
--- a/tests/direct_upgrades.rs
+++ b/tests/direct_upgrades.rs
@@ -16,7 +16,7 @@
 use stackmast::actor::{Core, Handle, mailbox, run};
 use stackmast::direct::core::GatewayCore;
 use stackmast::direct::event::{Action, Event};
-use stackmast::direct::note::Note;
+use stackmast::direct::log_events::LogEvent;
 use stackmast::direct::peers::build::Build;
 use stackmast::direct::peers::codec::{FORM, Unread, read};
 use stackmast::direct::peers::links::{Peers, accept};
@@ -179,7 +179,7 @@
 /// What a core tells, but for heartbeats.
 fn told(actions: &[Action]) -> Vec<(SocketAddr, PeerMessage)> {
     let told = actions.iter().filter_map(|a| match a {
-        Action::Tell { to, message } => Some((*to, message.clone())),
+        Action::Send { to, message } => Some((*to, message.clone())),
         _ => None,
     });
     told.filter(|(_, m)| !matches!(m, PeerMessage::Gossip { .. })).collect()
@@ -190,7 +190,7 @@
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[("first", &[], 10)])]);
     let (from, job) = (address(5), job_id(3));
     let unread = Unread::Message { job: Some(job) };
-    let event = || Event::PeerUnread { from, greeted: 9, unread };
+    let event = || Event::PeerMessageUnreadable { from, announced_form: 9, unread };
     let actions = core.handle(event(), ms(10));
     let refused = matches!(
         told(&actions).as_slice(),
@@ -199,7 +199,7 @@
     );
     assert!(refused, "{actions:?}");
     let noted = |actions: &[Action]| {
-        actions.iter().filter(|a| matches!(a, Action::Note(Note::PeerUnread { .. }))).count()
+        actions.iter().filter(|a| matches!(a, Action::Log(LogEvent::PeerUnread { .. }))).count()
     };
     assert_eq!(noted(&actions), 1);
     assert_eq!(noted(&core.handle(event(), ms(20))), 0, "told once");
@@ -220,7 +220,7 @@
         let Some((owner, job)) = submitted else { continue };
         let (reason, untouched, retry_after) = (JobReason::NotOwner, true, Duration::ZERO);
         let message = PeerMessage::GivenUp { job, reason, untouched, retry_after };
-        let actions = core.handle(Event::Peer { from: owner, message }, ms(22 + caller));
+        let actions = core.handle(Event::PeerMessage { from: owner, message }, ms(22 + caller));
         let again = told(&actions).into_iter().find_map(|(to, message)| match message {
             PeerMessage::Submit(_) => Some(to),
             _ => None,
@@ -241,7 +241,9 @@
     };
     let heard = |actions: &[Action]| {
         let heard = actions.iter().filter_map(|a| match a {
-            Action::Note(Note::PeerBuild { heard, version, .. }) => Some((*heard, version.clone())),
+            Action::Log(LogEvent::PeerBuild { heard, version, .. }) => {
+                Some((*heard, version.clone()))
+            }
             _ => None,
         });
         heard.collect::<Vec<_>>()
@@ -251,7 +253,7 @@
     assert_eq!(heard(&greet(&mut core, 2, &Build::own())), [("last", "0.0.9".to_owned())]);
     assert!(heard(&greet(&mut core, 2, &Build::own())).is_empty());
     let started = GatewayCore::new(setup()).handle(Event::Tick, ms(0));
-    let is_named = |a: &Action| matches!(a, Action::Note(Note::Started { form: FORM, .. }));
+    let is_named = |a: &Action| matches!(a, Action::Log(LogEvent::Started { form: FORM, .. }));
     assert!(started.iter().any(is_named));
 }
 
@@ -260,20 +262,25 @@
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
     let statement = Statement { leaving: true, ..Statement::default() };
     let (leaving, asked) = (endpoint("engine", 1), Asked::Request);
-    let stated =
-        Event::Stated { endpoint: leaving.clone(), asked, statement, sent: ms(1), at: ms(1) };
+    let stated = Event::EndpointStatus {
+        endpoint: leaving.clone(),
+        asked,
+        statement,
+        sent: ms(1),
+        at: ms(1),
+    };
     core.handle(stated, ms(1));
     let order = Evacuation { data_centre: "hall-9".into(), position: position(9), stands: true };
-    core.handle(Event::Evacuations { changes: vec![order], whole_at: Some(position(9)) }, ms(2));
+    core.handle(Event::Evacuations { changes: vec![order], snapshot_at: Some(position(9)) }, ms(2));
     // A heartbeat with nothing but what the first landing of all wrote.
     let member = serde_json::to_value(serving(5)).expect("JSON");
     let heartbeat = serde_json::json!({ "Gossip": {
         "members": [member], "seen": { "version": 1, "endpoints": 2 }, "complete": true, "usage": [],
     }});
     let message = read(&serde_json::to_vec(&heartbeat).expect("JSON"), 0).expect("it is read");
-    let actions = core.handle(Event::Peer { from: address(5), message }, ms(10));
+    let actions = core.handle(Event::PeerMessage { from: address(5), message }, ms(10));
     let told = actions.iter().find_map(|a| match a {
-        Action::Tell { message: PeerMessage::Gossip { evacuations, departures, .. }, .. } => {
+        Action::Send { message: PeerMessage::Gossip { evacuations, departures, .. }, .. } => {
             Some((evacuations.standing(), departures.len()))
         }
         _ => None,
--- a/tests/directenv/eras/mod.rs
+++ b/tests/directenv/eras/mod.rs
@@ -245,7 +245,7 @@
         self.store.version = (self.store.revision, self.version.0);
         self.version.1 = self.time.now;
         let documents = vec![self.configuration()];
-        self.tell_all(&|| Event::Published { documents: documents.clone(), whole_at: None });
+        self.tell_all(&|| Event::Published { documents: documents.clone(), snapshot_at: None });
     }
 
     fn write_orders(&mut self) {
@@ -266,7 +266,7 @@
             }
             let position = Position::new(self.era, revision);
             let changes = vec![Evacuation { data_centre, position, stands }];
-            self.tell_all(&|| Event::Evacuations { changes: changes.clone(), whole_at: None });
+            self.tell_all(&|| Event::Evacuations { changes: changes.clone(), snapshot_at: None });
         }
     }
 
@@ -299,7 +299,7 @@
             Revised { position, made, document: Document::Endpoint(entry) }
         };
         let documents = vec![revised];
-        self.tell_all(&|| Event::Published { documents: documents.clone(), whole_at: None });
+        self.tell_all(&|| Event::Published { documents: documents.clone(), snapshot_at: None });
     }
 
     fn configuration(&self) -> Revised {
@@ -388,16 +388,16 @@
             stands: true,
         };
         let changes = self.store.orders.iter().map(change).collect();
-        self.deliver(gateway, Event::Evacuations { changes, whole_at: Some(at) });
+        self.deliver(gateway, Event::Evacuations { changes, snapshot_at: Some(at) });
         let documents = vec![self.configuration()];
-        self.deliver(gateway, Event::Published { documents, whole_at: None });
+        self.deliver(gateway, Event::Published { documents, snapshot_at: None });
         let entry = |(revision, made, endpoint): &(u64, u64, Arc<Endpoint>)| Revised {
             position: Position::new(at.era, *revision),
             made: *made,
             document: Document::Endpoint(endpoint.clone()),
         };
         let documents = self.store.entries.values().map(entry).collect();
-        self.deliver(gateway, Event::Published { documents, whole_at: Some(at) });
+        self.deliver(gateway, Event::Published { documents, snapshot_at: Some(at) });
     }
 
     fn start(&mut self, number: usize) {
@@ -422,10 +422,10 @@
         }
         for action in actions {
             match action {
-                Action::StoreEra(era) if self.follows[number].era < era => {
+                Action::SetStoreEra(era) if self.follows[number].era < era => {
                     self.reads_soon(number, 300);
                 }
-                Action::Tell { .. } | Action::Spread { .. } => {
+                Action::Send { .. } | Action::Broadcast { .. } => {
                     for (to, event) in heard(number, action) {
                         self.send(number, to, event);
                     }
--- a/tests/directenv/fakes.rs
+++ b/tests/directenv/fakes.rs
@@ -3,8 +3,10 @@
 use std::collections::{BTreeSet, HashSet};
 
 use rand::RngExt;
-use stackmast::direct::answers::{BatchOutcome, BatchReport, CallFailure, PieceOutcome, Proof};
-use stackmast::direct::event::{CallOrder, Event, Generation, PieceOrder};
+use stackmast::direct::answers::{
+    AnswerProof, BatchOutcome, BatchReport, CallFailure, PieceOutcome,
+};
+use stackmast::direct::event::{CallSpec, Event, Generation, PieceSpec};
 use stackmast::direct::published::model::{Endpoint, Repeat, Route};
 use stackmast::direct::statement::Asked;
 
@@ -19,15 +21,15 @@
         }
         let free_bytes = self.rng.random_range(0..=1_000);
         let report = BatchReport { free_bytes, waiting: 0, incarnation: 0 };
-        let asked = self.now;
-        let event = Event::Reported { endpoint: endpoint.id.clone(), report, asked };
+        let requested_at = self.now;
+        let event = Event::ReportReceived { endpoint: endpoint.id.clone(), report, requested_at };
         let at = self.now + self.time_in(ms(1), ms(8));
         self.answers(number, endpoint, Asked::Report, at);
         self.at(at, Happening::Event(number, self.lives[number], Box::new(event)));
     }
 
     /// An endpoint is called with a request: it may refuse, fail before or after its run, or answer.
-    pub fn call(&mut self, number: usize, caller: u64, attempt: u64, order: &CallOrder) {
+    pub fn call(&mut self, number: usize, caller: u64, attempt: u64, order: &CallSpec) {
         let life = self.lives[number];
         let seen = &self.callers[&caller];
         let (id, route) = (seen.id.clone(), seen.route);
@@ -35,11 +37,21 @@
         let spec = self.routes[route].clone();
         self.check_inputs(&id, &spec, order);
         let failed = |failure| Event::CallFailed { caller, attempt, failure };
-        let refused = |status, other_endpoint| {
-            let proof = Proof { status, not_run: true, other_endpoint, ..Proof::default() };
+        let refused = |status, from_other_endpoint| {
+            let proof = AnswerProof {
+                status,
+                not_run: true,
+                from_other_endpoint,
+                ..AnswerProof::default()
+            };
             Event::Answered { caller, attempt, proof, is_open: false }
         };
-        let good = Proof { status: 200, signed: true, own: true, ..Proof::default() };
+        let good = AnswerProof {
+            status: 200,
+            signed: true,
+            names_request: true,
+            ..AnswerProof::default()
+        };
         let fate = if self.is_troubled() { self.rng.random_range(1..8) } else { 0 };
         let delay = self.time_in(ms(2), ms(40));
         let (runs, event) = match fate {
@@ -49,7 +61,7 @@
             4 => (true, failed(CallFailure::Broken)),
             5 => (true, failed(CallFailure::Silent)),
             6 => {
-                let proof = Proof { signed: false, ..good };
+                let proof = AnswerProof { signed: false, ..good };
                 (true, Event::Answered { caller, attempt, proof, is_open: false })
             }
             _ => {
@@ -77,16 +89,16 @@
         if is_stream {
             let first = self.now + delay + ms(1);
             self.at(first, Happening::Event(number, life, Box::new(Event::FirstEvent { caller })));
-            let whole = fate == 0;
+            let is_complete = fate == 0;
             let last_event = Some("3".to_owned());
-            let ended = Event::StreamEnded { caller, attempt, whole, last_event };
+            let ended = Event::StreamEnded { caller, attempt, is_complete, last_event };
             let length = self.stream_length(route);
             self.at(first + length, Happening::Event(number, life, Box::new(ended)));
         }
     }
 
     /// The run gets every result of its last stages, each made for this request, once and in order.
-    fn check_inputs(&self, id: &str, spec: &Route, order: &CallOrder) {
+    fn check_inputs(&self, id: &str, spec: &Route, order: &CallSpec) {
         let last: Vec<usize> = spec.last_stages().collect();
         let mut expected_stages = Vec::new();
         for handle in &order.inputs {
@@ -105,7 +117,7 @@
         }
     }
 
-    pub fn batch(&mut self, number: usize, call: u64, endpoint: &Endpoint, pieces: &[PieceOrder]) {
+    pub fn batch(&mut self, number: usize, call: u64, endpoint: &Endpoint, pieces: &[PieceSpec]) {
         let fate = if self.is_troubled() { self.rng.random_range(1..7) } else { 0 };
         let mut delay = self.time_in(ms(240), ms(300));
         let outcome = match fate {
@@ -128,7 +140,7 @@
     }
 
     /// A maker checks what it is given and makes a piece, or says why not.
-    fn make(&mut self, endpoint: &Endpoint, order: &PieceOrder) -> PieceOutcome {
+    fn make(&mut self, endpoint: &Endpoint, order: &PieceSpec) -> PieceOutcome {
         let caller =
             self.callers.values().find(|c| c.id == *order.request).expect("a client's request");
         let spec = &self.routes[caller.route].stages[order.stage];
--- a/tests/directenv/gateway.rs
+++ b/tests/directenv/gateway.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use stackmast::actor::{Core, Shell};
-use stackmast::direct::answers::Proof;
+use stackmast::direct::answers::AnswerProof;
 use stackmast::direct::core::{GatewayCore, Setup};
 use stackmast::direct::departures::Departure;
-use stackmast::direct::event::{Action, CallOrder, Event, Incoming, Refusal};
+use stackmast::direct::event::{Action, CallSpec, Event, IncomingRequest, Refusal};
 use stackmast::direct::limits::known::LimitTold;
 use stackmast::direct::peers::members::{Member, MemberState};
 use stackmast::direct::peers::message::PeerMessage;
@@ -55,9 +55,10 @@
 pub fn publish(core: &mut GatewayCore, deployment: Deployment, now: Duration) -> Vec<Action> {
     let document = Document::Deployment(Arc::new(deployment));
     let documents = vec![Revised { position: position(1), made: 0, document }];
-    let mut actions = core.handle(Event::Published { documents, whole_at: None }, now);
+    let mut actions = core.handle(Event::Published { documents, snapshot_at: None }, now);
     let documents = listed(&endpoints(), 2);
-    actions.extend(core.handle(Event::Published { documents, whole_at: Some(position(2)) }, now));
+    actions
+        .extend(core.handle(Event::Published { documents, snapshot_at: Some(position(2)) }, now));
     actions
 }
 
@@ -67,13 +68,13 @@
     core
 }
 
-pub fn incoming(route: &str, pieces: Vec<usize>) -> Incoming {
-    Incoming {
+pub fn incoming(route: &str, pieces: Vec<usize>) -> IncomingRequest {
+    IncomingRequest {
         id: "id-1".into(),
         host: "h.example".to_owned(),
         path: format!("/{route}/x"),
         key: Some("key".to_owned()),
-        allowed: Some(Duration::from_secs(5)),
+        timeout: Some(Duration::from_secs(5)),
         generation: None,
         pieces,
         piece_key: Some("k".into()),
@@ -85,13 +86,13 @@
 pub fn submit(
     core: &mut GatewayCore,
     caller: u64,
-    incoming: Incoming,
+    incoming: IncomingRequest,
     now: Duration,
 ) -> Vec<Action> {
     core.handle(Event::Submit { caller, incoming }, now)
 }
 
-pub fn calls(actions: &[Action]) -> Vec<(u64, CallOrder)> {
+pub fn calls(actions: &[Action]) -> Vec<(u64, CallSpec)> {
     let calls = actions.iter().filter_map(|a| match a {
         Action::Call { attempt, order, .. } => Some((*attempt, order.clone())),
         _ => None,
@@ -110,11 +111,11 @@
     actions.iter().any(|a| matches!(a, Action::Deliver { .. }))
 }
 
-pub fn good() -> Proof {
-    Proof { status: 200, signed: true, own: true, ..Proof::default() }
+pub fn good() -> AnswerProof {
+    AnswerProof { status: 200, signed: true, names_request: true, ..AnswerProof::default() }
 }
 
-pub fn answered(attempt: u64, proof: Proof) -> Event {
+pub fn answered(attempt: u64, proof: AnswerProof) -> Event {
     Event::Answered { caller: 1, attempt, proof, is_open: false }
 }
 
@@ -162,5 +163,5 @@
 pub fn hear_of(core: &mut GatewayCore, members: Vec<Member>, now: Duration) {
     let from = members[0].address;
     let message = gossip(members);
-    core.handle(Event::Peer { from, message }, now);
+    core.handle(Event::PeerMessage { from, message }, now);
 }
--- a/tests/directenv/limits.rs
+++ b/tests/directenv/limits.rs
@@ -9,7 +9,7 @@
 use stackmast::actor::Core;
 use stackmast::direct::answers::CallFailure;
 use stackmast::direct::core::Setup;
-use stackmast::direct::event::{Action, CallOrder, Event, Generation};
+use stackmast::direct::event::{Action, CallSpec, Event, Generation};
 use stackmast::direct::gates::Gates;
 use stackmast::direct::published::documents::{Document, Revised};
 use stackmast::direct::published::model::{Endpoint, Name, Repeat};
@@ -61,7 +61,7 @@
 enum Happening {
     Event(usize, u64, Box<Event>),
     /// A call could go out, over a connection that is up.
-    GoesOut(usize, u64, u64, u64, Box<CallOrder>),
+    GoesOut(usize, u64, u64, u64, Box<CallSpec>),
     /// A call's answer is written.
     Answers(usize, u64, u64, u64, Arc<Endpoint>, Duration),
     Wake(usize, u64),
@@ -288,7 +288,7 @@
         let gateway = &mut self.gateways[number];
         gateway.in_touch_from = gateway.in_touch_from.max(until + IN_TOUCH);
         if let Some(core) = &mut gateway.core {
-            core.stood_still(lasts, until);
+            core.on_suspension(lasts, until);
         }
         let life = gateway.life;
         self.time.at(until, Happening::Wake(number, life));
@@ -314,7 +314,7 @@
         let documents = documents
             .map(|document| Revised { position: position(5), made: 0, document })
             .collect();
-        let event = Event::Published { documents, whole_at: Some(position(5)) };
+        let event = Event::Published { documents, snapshot_at: Some(position(5)) };
         let at = self.time.now + self.time.time_in(4, 100);
         self.time.at(at, Happening::Event(number, life, Box::new(event)));
         self.handle(number, Event::Tick);
@@ -354,7 +354,7 @@
 
     fn act(&mut self, number: usize, action: Action) {
         match action {
-            Action::Tell { .. } | Action::Spread { .. } => {
+            Action::Send { .. } | Action::Broadcast { .. } => {
                 for (to, event) in heard(number, action) {
                     self.send(number, to, event);
                 }
@@ -366,7 +366,7 @@
                 let goes_out = Happening::GoesOut(number, life, caller, attempt, Box::new(order));
                 self.time.at(self.time.now + after, goes_out);
             }
-            Action::Limit { endpoint, incarnation, is_limited } => {
+            Action::RequirePermits { endpoint, incarnation, is_limited } => {
                 self.gates[number].limit(endpoint, incarnation, is_limited, self.time.now);
             }
             Action::Refuse { .. } => self.seen.refused += 1,
@@ -387,7 +387,7 @@
         }
     }
 
-    fn goes_out(&mut self, number: usize, caller: u64, attempt: u64, order: &CallOrder) {
+    fn goes_out(&mut self, number: usize, caller: u64, attempt: u64, order: &CallSpec) {
         let (now, life) = (self.time.now, self.gateways[number].life);
         let endpoint = order.endpoint.clone();
         if !self.gates[number].is_open(&endpoint, Asked::Request, order.permit, now) {
@@ -422,7 +422,7 @@
         let statement = Statement { limit, ..Statement::default() };
         if !statement.is_empty() || self.gates[number].is_limited(&endpoint) {
             let asked = Asked::Request;
-            let stated = Event::Stated { endpoint, asked, statement, sent, at };
+            let stated = Event::EndpointStatus { endpoint, asked, statement, sent, at };
             self.time.at(at, Happening::Event(number, life, Box::new(stated)));
         }
         let answered = Event::Answered { caller, attempt, proof: good(), is_open: false };
--- a/tests/directenv/orders.rs
+++ b/tests/directenv/orders.rs
@@ -266,14 +266,14 @@
         self.orders.insert(data_centre.clone(), (revision, since));
         let change = Evacuation { data_centre, position: position(revision), stands };
         for gateway in 0..self.gateways.len() {
-            let event = Event::Evacuations { changes: vec![change.clone()], whole_at: None };
+            let event = Event::Evacuations { changes: vec![change.clone()], snapshot_at: None };
             self.publish(gateway, event);
         }
     }
 
     fn spread(&mut self, documents: Vec<Revised>) {
         for gateway in 0..self.gateways.len() {
-            let event = Event::Published { documents: documents.clone(), whole_at: None };
+            let event = Event::Published { documents: documents.clone(), snapshot_at: None };
             self.publish(gateway, event);
         }
     }
@@ -298,14 +298,14 @@
             stands: true,
         };
         let changes = stand.map(change).collect();
-        let whole_at = Some(position(self.revision));
-        self.publish(gateway, Event::Evacuations { changes, whole_at });
+        let snapshot_at = Some(position(self.revision));
+        self.publish(gateway, Event::Evacuations { changes, snapshot_at });
         let configured = Document::Deployment(Arc::new(cold_deployment()));
         let documents = vec![Revised { position: position(1), made: 0, document: configured }];
-        self.publish(gateway, Event::Published { documents, whole_at: None });
+        self.publish(gateway, Event::Published { documents, snapshot_at: None });
         let is_entry = |r: &&Revised| matches!(r.document, Document::Endpoint(_));
         let documents = self.entered.values().filter(is_entry).cloned().collect();
-        self.publish(gateway, Event::Published { documents, whole_at });
+        self.publish(gateway, Event::Published { documents, snapshot_at });
     }
 
     fn start(&mut self, number: usize) {
@@ -345,7 +345,7 @@
 
     fn act(&mut self, number: usize, action: Action) {
         match action {
-            Action::Tell { .. } | Action::Spread { .. } => {
+            Action::Send { .. } | Action::Broadcast { .. } => {
                 for (to, event) in heard(number, action) {
                     self.send(number, to, event);
                 }
--- a/tests/directenv/poison/mod.rs
+++ b/tests/directenv/poison/mod.rs
@@ -314,13 +314,13 @@
     fn act(&mut self, number: usize, action: Action) {
         let life = self.gateways[number].life;
         match action {
-            Action::Tell { .. } | Action::Spread { .. } => {
+            Action::Send { .. } | Action::Broadcast { .. } => {
                 for (to, event) in heard(number, action) {
                     self.send(number, to, event);
                 }
             }
             Action::Call { caller, attempt, order } => self.call(number, caller, attempt, &order),
-            Action::Batch { call, endpoint, pieces, .. } => {
+            Action::CallBatch { call, endpoint, pieces, .. } => {
                 self.batch(number, call, &endpoint, &pieces);
             }
             Action::Probe(endpoint) => {
@@ -382,7 +382,7 @@
 
     fn spread(&mut self, documents: &[Revised]) {
         for gateway in 0..self.gateways.len() {
-            let event = Event::Published { documents: documents.to_vec(), whole_at: None };
+            let event = Event::Published { documents: documents.to_vec(), snapshot_at: None };
             self.publish(gateway, event);
         }
     }
@@ -399,11 +399,11 @@
     fn publish_whole(&mut self, gateway: usize) {
         let configured = Document::Deployment(Arc::new(poison_deployment()));
         let documents = vec![Revised { position: position(1), made: 0, document: configured }];
-        self.publish(gateway, Event::Published { documents, whole_at: None });
+        self.publish(gateway, Event::Published { documents, snapshot_at: None });
         let is_entry = |r: &&Revised| matches!(r.document, Document::Endpoint(_));
         let documents = self.entered.values().filter(is_entry).cloned().collect();
-        let whole_at = Some(position(self.revision));
-        self.publish(gateway, Event::Published { documents, whole_at });
+        let snapshot_at = Some(position(self.revision));
+        self.publish(gateway, Event::Published { documents, snapshot_at });
     }
 
     fn start(&mut self, number: usize) {
--- a/tests/directenv/publisher.rs
+++ b/tests/directenv/publisher.rs
@@ -34,10 +34,10 @@
 
     pub fn publish_to(&mut self, number: usize) {
         let documents = self.documents();
-        let whole_at = Some(position(self.revision));
+        let snapshot_at = Some(position(self.revision));
         let life = self.lives[number];
         let delay = self.time_in(ms(1), ms(80));
-        let event = Event::Published { documents, whole_at };
+        let event = Event::Published { documents, snapshot_at };
         self.at(self.now + delay, Happening::Event(number, life, Box::new(event)));
     }
 
@@ -60,14 +60,14 @@
     /// A list with a third of the entries; the rest is written again later.
     pub(super) fn lapse(&mut self) {
         self.revision += 2;
-        let whole_at = Some(position(self.revision - 1));
+        let snapshot_at = Some(position(self.revision - 1));
         let listed = self.documents().into_iter().enumerate().filter(|(i, _)| i % 3 == 0);
         let documents: Vec<Revised> = listed.map(|(_, document)| document).collect();
         // What is written again is newer than all that was seen of the list.
         self.listed_at = self.revision;
         for number in 0..usize::from(GATEWAYS) {
             let documents = documents.clone();
-            self.handle(number, Event::Published { documents, whole_at });
+            self.handle(number, Event::Published { documents, snapshot_at });
         }
     }
 }
--- a/tests/directenv/recount.rs
+++ b/tests/directenv/recount.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use stackmast::direct::event::Action;
-use stackmast::direct::note::{Note, ms};
+use stackmast::direct::log_events::{LogEvent, ms};
 use stackmast::direct::owner::inspect::PoolState;
 use stackmast::direct::owner::jobs::{JobRun, Piece};
 use stackmast::direct::owner::scheduler::Scheduler;
@@ -95,8 +95,8 @@
         let mut seen = Vec::new();
         for action in actions {
             match action {
-                Action::Note(Note::StagesDecided { admitted, .. }) => self.decision(*admitted),
-                Action::Batch { endpoint, pieces, .. } => {
+                Action::Log(LogEvent::StagesDecided { admitted, .. }) => self.decision(*admitted),
+                Action::CallBatch { endpoint, pieces, .. } => {
                     let pool = endpoint.labels.get("service").map_or("", String::as_str);
                     if seen.contains(&pool) {
                         continue;
--- a/tests/directenv/said.rs
+++ b/tests/directenv/said.rs
@@ -51,7 +51,7 @@
     statement: Statement,
     at: u64,
 ) -> Vec<Action> {
-    let event = Event::Stated {
+    let event = Event::EndpointStatus {
         endpoint: who.clone(),
         asked: Asked::Request,
         statement,
@@ -63,7 +63,7 @@
 
 pub fn enter(core: &mut GatewayCore, who: &Arc<Endpoint>, revision: u64, at: u64) {
     let documents = listed(std::slice::from_ref(who), revision);
-    core.handle(Event::Published { documents, whole_at: None }, ms(at));
+    core.handle(Event::Published { documents, snapshot_at: None }, ms(at));
 }
 
 /// Where a new request goes.
@@ -88,7 +88,7 @@
 /// Calls with pieces, as (call, endpoint).
 pub fn batches(actions: &[Action]) -> Vec<(u64, Arc<Endpoint>)> {
     let batches = actions.iter().filter_map(|a| match a {
-        Action::Batch { call, endpoint, .. } => Some((*call, endpoint.clone())),
+        Action::CallBatch { call, endpoint, .. } => Some((*call, endpoint.clone())),
         _ => None,
     });
     batches.collect()
@@ -96,7 +96,7 @@
 
 pub fn freed(actions: &[Action]) -> Vec<String> {
     let freed = actions.iter().filter_map(|a| match a {
-        Action::Free { endpoint, .. } => Some(endpoint.id.to_string()),
+        Action::FreeResults { endpoint, .. } => Some(endpoint.id.to_string()),
         _ => None,
     });
     freed.collect()
@@ -112,14 +112,14 @@
 
 pub fn hear(core: &mut GatewayCore, departures: Vec<Departure>, at: u64) -> Vec<Action> {
     let message = Says { members: vec![serving(2)], departures, ..Says::default() }.message();
-    core.handle(Event::Peer { from: address(2), message }, ms(at))
+    core.handle(Event::PeerMessage { from: address(2), message }, ms(at))
 }
 
 /// Departures that go with a heartbeat or an answer to one.
 pub fn told(actions: &[Action]) -> Vec<Departure> {
     let messages = actions.iter().filter_map(|a| match a {
-        Action::Spread { message: PeerMessage::Gossip { departures, .. }, .. }
-        | Action::Tell { message: PeerMessage::Gossip { departures, .. }, .. } => Some(departures),
+        Action::Broadcast { message: PeerMessage::Gossip { departures, .. }, .. }
+        | Action::Send { message: PeerMessage::Gossip { departures, .. }, .. } => Some(departures),
         _ => None,
     });
     messages.flatten().cloned().collect()
--- a/tests/directenv/statements.rs
+++ b/tests/directenv/statements.rs
@@ -63,7 +63,7 @@
         let backoff = (!leaving).then_some(Backoff::For(time));
         let statement = Statement { leaving, backoff, cold: None, limit: None };
         let endpoint = Arc::new(endpoint.clone());
-        let event = Event::Stated { endpoint, asked, statement, sent: at, at };
+        let event = Event::EndpointStatus { endpoint, asked, statement, sent: at, at };
         let life = self.lives[number];
         self.at(at, Happening::Event(number, life, Box::new(event)));
     }
@@ -71,7 +71,7 @@
     /// A gateway is about to hear an endpoint.
     pub fn hears(&mut self, number: usize, event: &Event) {
         let life = self.lives[number];
-        let (Some(statements), Event::Stated { endpoint, statement, at, .. }) =
+        let (Some(statements), Event::EndpointStatus { endpoint, statement, at, .. }) =
             (&mut self.statements, event)
         else {
             return;
@@ -95,9 +95,9 @@
         };
         let (endpoint, is_work) = match action {
             Action::Call { order, .. } => (&order.endpoint, true),
-            Action::Batch { endpoint, .. } => (endpoint, true),
-            Action::AskReport(endpoint) => (endpoint, true),
-            Action::Free { endpoint, .. } | Action::Probe(endpoint) => (endpoint, false),
+            Action::CallBatch { endpoint, .. } => (endpoint, true),
+            Action::RequestReport(endpoint) => (endpoint, true),
+            Action::FreeResults { endpoint, .. } | Action::Probe(endpoint) => (endpoint, false),
             _ => return,
         };
         let between = (number, life, endpoint.id.to_string());
--- a/tests/directenv/stops.rs
+++ b/tests/directenv/stops.rs
@@ -110,7 +110,7 @@
             return self.at(next, Happening::LookAtStop(number, life));
         }
         self.stops.ending = true;
-        self.handle(number, Event::End);
+        self.handle(number, Event::Shutdown);
         self.stops.ending = false;
         self.stops.ended += 1;
         // Jobs of other gateways go on at their next owner.
--- a/tests/directenv/timeline.rs
+++ b/tests/directenv/timeline.rs
@@ -103,10 +103,10 @@
 pub fn heard(number: usize, action: Action) -> Vec<(u16, Event)> {
     let from = address(number as u16 + 1);
     let (to, message) = match action {
-        Action::Tell { to, message } => (vec![to], message),
-        Action::Spread { to, message } => (to, message),
+        Action::Send { to, message } => (vec![to], message),
+        Action::Broadcast { to, message } => (to, message),
         _ => return Vec::new(),
     };
-    let event = |message| Event::Peer { from, message };
+    let event = |message| Event::PeerMessage { from, message };
     to.into_iter().map(|to| (to.port(), event(message.clone()))).collect()
 }
--- a/tests/directenv/world.rs
+++ b/tests/directenv/world.rs
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng};
 use stackmast::actor::Core;
 use stackmast::direct::core::{GatewayCore, Setup};
-use stackmast::direct::event::{Action, Event, Incoming};
+use stackmast::direct::event::{Action, Event, IncomingRequest};
 use stackmast::direct::peers::message::PeerMessage;
 use stackmast::direct::poison::fingerprint::Fingerprint;
 use stackmast::direct::published::model::{Repeat, Route};
@@ -284,7 +284,9 @@
                 self.cut.remove(&number);
             }
             Happening::Publish => self.publish(),
-            Happening::Away(number) => self.handle(number, Event::Publisher { answers: false }),
+            Happening::Away(number) => {
+                self.handle(number, Event::PublisherStatus { answers: false })
+            }
             Happening::Lapse => self.lapse(),
         }
     }
@@ -299,7 +301,7 @@
         }
         let lost = address(number as u16 + 1);
         for other in (0..usize::from(GATEWAYS)).filter(|o| *o != number) {
-            let event = Event::PeerBroke { address: lost, incarnation };
+            let event = Event::PeerInboundFailed { address: lost, incarnation };
             let delay = self.time_in(ms(1), ms(5));
             self.at(self.now + delay, Happening::Event(other, self.lives[other], Box::new(event)));
         }
@@ -313,9 +315,9 @@
         let spec = &self.routes[route];
         let id = format!("request-{caller}");
         let pieces = spec.stages.iter().map(|_| self.rng.random_range(1..4)).collect();
-        let incoming = Incoming {
+        let incoming = IncomingRequest {
             id: id.as_str().into(),
-            allowed: Some(self.allowed),
+            timeout: Some(self.allowed),
             generation: spec.streams.then(|| super::fakes::generation(caller)),
             content: Fingerprint::of_content("POST", &id, b""),
             ..super::gateway::incoming(&spec.name, pieces)
@@ -337,7 +339,7 @@
         self.handle(number, Event::Submit { caller, incoming });
         if self.trouble > 0.0 && self.chance(0.1) {
             let at = self.now + self.time_in(ms(10), ms(900));
-            let event = Event::CallerGone { caller };
+            let event = Event::CallerDisconnected { caller };
             self.callers.get_mut(&caller).expect("the caller").gone = true;
             self.at(at, Happening::Event(number, self.lives[number], Box::new(event)));
         }
@@ -371,17 +373,17 @@
         self.check_statements(number, &action);
         match action {
             Action::Call { caller, attempt, order } => self.call(number, caller, attempt, &order),
-            Action::Batch { call, endpoint, pieces, .. } => {
+            Action::CallBatch { call, endpoint, pieces, .. } => {
                 self.batch(number, call, &endpoint, &pieces);
             }
-            Action::Free { handles, .. } => {
+            Action::FreeResults { handles, .. } => {
                 for handle in handles {
                     self.kept.remove(&*handle);
                 }
             }
-            Action::AskReport(endpoint) => self.report(number, &endpoint),
-            Action::Tell { to, message } => self.tell(number, to, message),
-            Action::Spread { to, message } => {
+            Action::RequestReport(endpoint) => self.report(number, &endpoint),
+            Action::Send { to, message } => self.tell(number, to, message),
+            Action::Broadcast { to, message } => {
                 to.into_iter().for_each(|to| self.tell(number, to, message.clone()));
             }
             Action::Deliver { caller, .. } => {
@@ -390,8 +392,8 @@
                     self.answer(caller, "answered");
                 }
             }
-            Action::Finish { caller } => self.answer(caller, "streamed"),
-            Action::Abort { caller } if !self.callers[&caller].gone => {
+            Action::EndStream { caller } => self.answer(caller, "streamed"),
+            Action::AbortStream { caller } if !self.callers[&caller].gone => {
                 self.answer(caller, "broken off");
             }
             Action::Refuse { caller, refusal } => {
@@ -427,7 +429,7 @@
         if is_cut || self.is_troubled() && self.chance(0.1) {
             return;
         }
-        let event = Event::Peer { from: address(number as u16 + 1), message };
+        let event = Event::PeerMessage { from: address(number as u16 + 1), message };
         let delay = self.time_in(ms(1), ms(4));
         let before = self.last_message.get(&(number, other)).copied().unwrap_or_default();
         let at = (self.now + delay).max(before);
