--- a/src/direct/answers.rs
+++ b/src/direct/answers.rs
@@ -1,74 +1,74 @@
-//! What comes of calls to endpoints: what an answer proves, how a call failed, what became of pieces.
+//! Outcomes of calls to endpoints: responses, failures, and outcomes of pieces.
 
 use crate::direct::peers::message::Handle;
 
-/// What an endpoint proved with its answer.
+/// What a response proves about the request and the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct AnswerProof {
-    /// The status of the answer.
+    /// Status code of the response.
     pub status: u16,
-    /// The answer is signed by its maker.
+    /// Whether the response carries the endpoint's signature.
     pub signed: bool,
-    /// The answer names this very request.
+    /// Whether the response names the id of this request.
     pub names_request: bool,
-    /// The endpoint states that it has not run the request.
+    /// Whether the endpoint states that it has not run the request.
     pub not_run: bool,
-    /// Another endpoint has this address.
+    /// Whether the endpoint at this address is another one than the one that was called.
     pub from_other_endpoint: bool,
-    /// Requests running and waiting at the endpoint, and its slots.
+    /// Numbers of running and waiting requests at the endpoint, and of its slots.
     pub load: Option<(u32, u32, u32)>,
 }
 
-/// How a call failed without an answer.
+/// How a call failed without a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallFailure {
-    /// No connection was made: nothing was sent.
+    /// No connection was established, so nothing was sent.
     NotSent,
-    /// The endpoint closed a new connection before anything was sent: it has too many.
+    /// The endpoint closed a new connection before anything was sent: it has too many connections.
     TurnedAway,
-    /// The endpoint said that it wants nothing before anything was sent.
+    /// Before anything was sent, the endpoint announced that it accepts no requests for now.
     Withheld,
-    /// It may have run.
+    /// The connection failed; the request may have run.
     Broken,
-    /// There was no answer in time; it may run.
+    /// No response arrived in time; the request may be running.
     Silent,
 }
 
-/// What became of one piece in a call.
+/// Outcome of one piece of a batch call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PieceOutcome {
-    /// Its result.
+    /// The piece was produced.
     Made(Handle),
-    /// Its time was over at its turn.
+    /// The piece's deadline passed before it was run.
     Late,
-    /// An input is gone.
+    /// An input no longer exists.
     InputGone,
-    /// There was no room for the result.
+    /// The endpoint had no free result memory.
     NoRoom,
-    /// It failed.
+    /// The piece failed.
     Failed,
 }
 
-/// What became of a call with pieces.
+/// Outcome of a batch call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BatchOutcome {
-    /// An outcome for each piece, in order.
+    /// Outcome of each piece, in order.
     Pieces(Vec<PieceOutcome>),
     /// Nothing ran: the endpoint is full.
     Full,
-    /// Nothing ran: another endpoint has this address.
+    /// Nothing ran: the address belongs to another endpoint now.
     OtherEndpoint,
     /// The call failed.
     Failed(CallFailure),
 }
 
-/// How an endpoint that works in batches says that it stands, a moment ago.
+/// Load report of an endpoint of a batch pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BatchReport {
-    /// Bytes of its room for results that are free.
+    /// Free bytes of the endpoint's result memory.
     pub free_bytes: u64,
-    /// Calls that wait there.
+    /// Number of calls that wait at the endpoint.
     pub waiting: u32,
-    /// The life that it tells of; 0 where it does not say.
+    /// Incarnation that the report is about; 0 if the endpoint does not state it.
     pub incarnation: u64,
 }
--- a/src/direct/client.rs
+++ b/src/direct/client.rs
@@ -1,4 +1,5 @@
-//! What an adapter provides: calls to endpoints. What it gets: callers' messages, untouched.
+//! Interface to adapters, which call endpoints in their protocol and forward callers' messages
+//! unchanged.
 
 use std::collections::BTreeSet;
 use std::future::Future;
@@ -14,67 +15,67 @@
 use crate::direct::published::model::Endpoint;
 use crate::direct::statement::Statement;
 
-/// A caller's message as it is handed on.
+/// Caller's request as it is forwarded.
 #[derive(Debug, Clone)]
 pub struct Forwarded {
-    /// The method.
+    /// Method of the request.
     pub method: Method,
-    /// Path and query.
+    /// Path and query of the request.
     pub target: String,
-    /// The head, without what belongs to one connection.
+    /// Headers, without those of a single connection.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body of the request.
     pub body: Bytes,
 }
 
-/// The head of an endpoint's answer.
+/// Head of an endpoint's response.
 #[derive(Debug, Clone)]
 pub struct AnswerHead {
-    /// The status.
+    /// Status code of the response.
     pub status: StatusCode,
-    /// The head, without what belongs to one connection.
+    /// Headers, without those of a single connection.
     pub headers: HeaderMap,
 }
 
-/// An endpoint's answer broke off.
+/// Reading the body of an endpoint's response failed.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// What follows an answer's head.
+/// Body of an endpoint's response.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// All of it.
+    /// Complete body.
     Whole(Bytes),
-    /// It comes bit by bit.
+    /// Stream that is still being received.
     Open(UnsyncBoxBody<Bytes, BodyError>),
 }
 
-/// An endpoint's answer.
+/// Response of an endpoint.
 #[derive(Debug)]
 pub struct Answer {
-    /// What it proves.
+    /// What the response proves.
     pub proof: AnswerProof,
-    /// Its head.
+    /// Head of the response.
     pub head: AnswerHead,
-    /// Its body.
+    /// Body of the response.
     pub body: AnswerBody,
 }
 
-/// Follows one message to an endpoint and its answer.
+/// Observes one message to an endpoint and its response.
 pub trait Exchange: Send {
-    /// The message could go out now, over a connection that is up; says whether it still may. One that may not is
-    /// [`CallFailure::Withheld`].
+    /// Called when the message could be sent over an established connection; returns whether it
+    /// still may be sent. If not, the call fails with [`CallFailure::Withheld`].
     fn goes_out(&mut self) -> bool;
 
-    /// The head of the answer is read, and says this of the endpoint.
+    /// Called with the endpoint status headers when the response's head has been read.
     fn states(&mut self, statement: Statement);
 
-    /// The head of the answer has headers that are not read; each is named once.
+    /// Called with the response headers that this build does not know; each is passed once.
     fn passes_over(&mut self, headers: BTreeSet<String>);
 }
 
-/// Speaks to endpoints in their protocol.
+/// Calls endpoints in their protocol.
 pub trait EndpointClient: Send + Sync + 'static {
-    /// Hands a request to an endpoint; dropping the future ends the connection.
+    /// Calls an endpoint with a request; dropping the future closes the connection.
     fn call(
         &self,
         order: CallSpec,
@@ -82,7 +83,7 @@
         exchange: impl Exchange,
     ) -> impl Future<Output = Result<Answer, CallFailure>> + Send;
 
-    /// Has an endpoint make pieces.
+    /// Calls an endpoint with pieces of a stage.
     fn batch(
         &self,
         endpoint: Arc<Endpoint>,
@@ -90,17 +91,18 @@
         exchange: impl Exchange,
     ) -> impl Future<Output = BatchOutcome> + Send;
 
-    /// Asks an endpoint that works in batches how it stands; `None` where it does not tell.
+    /// Requests a load report from an endpoint of a batch pool; `None` if it sends none.
     fn report(
         &self,
         endpoint: Arc<Endpoint>,
         exchange: impl Exchange,
     ) -> impl Future<Output = Option<BatchReport>> + Send;
 
-    /// Whether an endpoint's port is closed, which proves that its process is gone. Silence proves nothing.
+    /// Whether an endpoint's port is closed, which proves that its process ended. Silence proves
+    /// nothing.
     fn is_closed(&self, endpoint: &Endpoint) -> impl Future<Output = bool> + Send;
 
-    /// Tells an endpoint that results aren't needed any more.
+    /// Lets an endpoint free results that are no longer needed.
     fn free(
         &self,
         endpoint: Arc<Endpoint>,
--- a/src/direct/core.rs
+++ b/src/direct/core.rs
@@ -1,7 +1,7 @@
-//! The decisions of a gateway that calls endpoints directly, without I/O or clock.
+//! Core of a gateway that calls endpoints directly: makes all decisions, without I/O or clock.
 //!
-//! One core a process: what is published, who the other gateways are, callers' requests, and the
-//! pools of which this gateway is the owner.
+//! Each process has one core. It holds the published documents, the members of the group of
+//! gateways, callers' requests, and the pools that this gateway owns.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -40,46 +40,47 @@
 use crate::direct::stop::{self, Stop};
 use crate::message::Timestamp;
 
-/// What lines call the store as the source of something.
+/// Name of the publisher's store as a source in log events.
 pub(super) const PUBLISHER: &str = "publisher";
-/// A report of how an endpoint stands is worth something for so long after it was asked for: one that lay unread while
-/// this process stood still tells how the endpoint stood then.
+/// Maximum age of a load report, measured from its request. A report that waited to be read while
+/// this process was suspended describes the endpoint as it was then.
 const REPORT_KEPT: Duration = Duration::from_millis(500);
 
-/// What a gateway is made with.
+/// Parameters of a gateway core.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// Where its peers connect.
+    /// Address at which peers connect to this gateway.
     pub address: SocketAddr,
-    /// Its life; a later one is a larger number.
+    /// Incarnation of the process; a later one is a larger number.
     pub incarnation: u64,
-    /// The processor time that its host has, in thousandths of a core.
+    /// Processor time available on the host, in thousandths of a core.
     pub capacity: u32,
-    /// Where it stands.
+    /// Data centre of the gateway.
     pub data_centre: Name,
-    /// Where it may meet others.
+    /// Addresses of gateways that it contacts first.
     pub seeds: Vec<SocketAddr>,
-    /// The budget of repeats.
+    /// Parameters of the repeat budget.
     pub repeats: Bounds,
-    /// From the signal to stop until the process is killed.
+    /// Time from the signal to stop until the process is killed.
     pub grace: Duration,
-    /// From the first configuration until stages are begun; see [`crate::direct::requests::early::SETTLING`].
+    /// Time from the first configuration until stages are started; see
+    /// [`crate::direct::requests::early::SETTLING`].
     pub settling: Duration,
-    /// The seed of the random choices.
+    /// Seed of the random choices.
     pub seed: u64,
 }
 
-/// One gateway.
+/// State of one gateway.
 #[derive(Debug)]
 pub struct GatewayCore {
     pub(super) members: Members,
-    /// Which of them run another build.
+    /// Peers that run another build.
     pub(super) builds: Builds,
     pub(super) documents: Documents,
     pub(super) evacuations: Evacuations,
-    /// Orders of before an era that the store has yet to confirm.
+    /// Orders from before an era that the store has not confirmed yet.
     pub(super) unconfirmed: Unconfirmed,
-    /// Data centres that get no new work by order.
+    /// Data centres that get no new work because of an evacuation order.
     pub(super) evacuated: BTreeSet<Name>,
     /// Known eras of the store.
     pub(super) eras: Eras,
@@ -91,35 +92,36 @@
     pub(super) pulls: Pulls,
     pub(super) early: Waiting,
     pub(super) lateness: Lateness,
-    /// Contents under which endpoints crashed; requests and owners have the same.
+    /// Fingerprints of content under which endpoints crashed; shared with requests and owners.
     pub(super) suspects: Arc<Suspects>,
     pub(super) broken: Broken,
     pub(super) successes: Successes,
-    /// Endpoints that said in answers that they leave.
+    /// Endpoints that announced in a response that they are leaving.
     pub(super) departures: Departures,
-    /// Endpoints that asked this gateway for a pause; requests and owners have the same.
+    /// Endpoints that asked this gateway for a pause; shared with requests and owners.
     pub(super) backoffs: Arc<Backoffs>,
-    /// Limits that endpoints name; requests and owners have the same.
+    /// Rate limits that endpoints state; shared with requests and owners.
     pub(super) limits: Arc<KnownLimits>,
-    /// Permits for messages to them that were asked for.
+    /// Pending permit requests of this gateway.
     pub(super) permits: Permits,
-    /// Permits that this gateway gives.
+    /// Permits that this gateway issues.
     pub(super) limiter: Limiter,
-    /// Probes that wait for the end of such a pause.
+    /// Probes that are deferred to the end of the endpoint's pause, by endpoint id.
     pub(super) later_probes: BTreeMap<Name, (Timestamp, Arc<Endpoint>)>,
-    /// When another gateway is next asked for what it knows of them.
+    /// When a peer is next asked for its suspects.
     pub(super) next_ask: Timestamp,
-    /// How long the event that is handled has waited.
+    /// How long the current event waited in the queue.
     waited: Duration,
-    /// When the process last went on after it had stood still.
+    /// When the process last resumed after a suspension.
     pub(super) resumed_at: Timestamp,
-    /// Gateways to be asked before this one calls itself ready; none once one has answered that serves.
+    /// Gateways that must respond before this one becomes ready; empty once one with a complete
+    /// state has responded.
     pub(super) unmet: BTreeSet<SocketAddr>,
-    /// When the first configuration and list came.
+    /// When the first configuration and endpoint list were complete.
     pub(super) documented_since: Option<Timestamp>,
-    /// When it was last looked at what this gateway is ready for.
+    /// When readiness was last checked.
     pub(super) updated_at: Timestamp,
-    /// When they were first the newest that was known of.
+    /// When configuration and list were first the newest known ones.
     pub(super) complete_since: Option<Timestamp>,
     pub(super) next_beat: Timestamp,
     pub(super) stop: Option<Stop>,
@@ -131,7 +133,7 @@
 }
 
 impl GatewayCore {
-    /// A gateway that knows nothing yet.
+    /// Creates a core without documents or known peers.
     pub fn new(setup: Setup) -> Self {
         let mut unmet: BTreeSet<SocketAddr> = setup.seeds.iter().copied().collect();
         unmet.remove(&setup.address);
@@ -181,17 +183,17 @@
         }
     }
 
-    /// Requests and jobs that are not over.
+    /// Number of unfinished requests and jobs.
     pub fn in_flight(&self) -> usize {
         self.requests.len() + self.owners.jobs()
     }
 
-    /// Other gateways that run another build.
+    /// Number of peers that run another build.
     pub fn peers_of_other_builds(&self) -> usize {
         self.builds.others()
     }
 
-    /// What is known and compiled.
+    /// Table compiled from the published documents.
     pub const fn table(&self) -> &Table {
         &self.table
     }
@@ -292,7 +294,8 @@
         self.out.push(Action::Log(event));
     }
 
-    /// A caller asks: its request waits while what it needs to be decided is about to come.
+    /// Submits a request, or holds it back while the documents that its decision needs are about to
+    /// arrive.
     fn submit(&mut self, caller: u64, incoming: IncomingRequest, now: Timestamp) {
         let arrived = now.saturating_sub(self.waited);
         if self.early.is_open() && !self.knows_enough(&incoming, now) {
@@ -312,7 +315,7 @@
         }
     }
 
-    /// Tells the requests how the stop stands.
+    /// Updates the requests' view of the stop.
     fn look_at_stop(&mut self, now: Timestamp) {
         if let Some(stop) = self.stop {
             let stopping = Stopping {
@@ -324,7 +327,7 @@
         }
     }
 
-    /// Nothing can be done any more: whoever waits is told so.
+    /// Ends the process's work: everything that is unfinished is refused or aborted.
     fn end(&mut self, now: Timestamp) {
         self.drain(now, now);
         if let Some(stop) = &mut self.stop {
@@ -350,8 +353,9 @@
     fn housekeeping(&mut self, now: Timestamp) {
         for member in self.members.expire(now) {
             self.peer_lost(member.address, member.incarnation, "silent", now);
-            // If it lives, its connections have fallen silent, and the own one probably, too. On the day
-            // of silent connections gateways heard of each other 0.01 to 0.2 s later, instead of 0.6 to 1.0 s.
+            // If the peer is up, its connections have fallen silent, and probably the one to it as
+            // well. On the recorded day with silent connections, gateways received from each other
+            // again 0.01 to 0.2 s later with this, instead of 0.6 to 1.0 s.
             self.out.push(Action::Disconnect { from: member.address });
         }
         let expired = self.documents.expire(now);
@@ -370,7 +374,8 @@
         self.requests.look(&self.table, now);
     }
 
-    /// Carries messages to the own scheduler or requests without the network.
+    /// Collects the actions to carry out; delivers messages to this gateway itself without the
+    /// network.
     fn collect(&mut self, now: Timestamp) -> Vec<Action> {
         let own = self.members.own().address;
         let mut actions = Vec::new();
@@ -398,8 +403,7 @@
     type Action = Action;
     const TICK: Event = Event::Tick;
 
-    /// What own callers ask and what becomes of their calls: it is handled before what other gateways
-    /// have this one do for theirs.
+    /// Events of own callers and their calls are handled before work on behalf of other gateways.
     fn is_urgent(event: &Event) -> bool {
         matches!(
             event,
@@ -417,8 +421,8 @@
         )
     }
 
-    /// Nobody was heard meanwhile, which says nothing of them. Whoever is there is told at once that this process
-    /// is, and asked for what is new.
+    /// Messages that peers sent during the suspension are unread, so their silence says nothing
+    /// about them. Sends a heartbeat to all known peers at once, and asks for the changes since.
     fn on_suspension(&mut self, duration: Duration, now: Timestamp) {
         self.resumed_at = now;
         self.members.on_suspension(duration, now);
@@ -431,7 +435,7 @@
 
     fn on_queue_delay(&mut self, waited: Duration, now: Timestamp) {
         self.waited = waited;
-        // A process that stood still is not short of time since.
+        // The time of a suspension does not count as event lag.
         self.lateness.waited(waited.min(now.saturating_sub(self.resumed_at)), now);
         let lateness = self.lateness.now(now);
         self.requests.set_lateness(lateness);
--- a/src/direct/endpoint_status.rs
+++ b/src/direct/endpoint_status.rs
@@ -1,5 +1,6 @@
-//! The core's part for what endpoints say of themselves in answers: that they leave, and for how long they want
-//! nothing. It holds for all that this gateway sends, whatever the answer was to and whatever became of that.
+//! Endpoint status headers: departures, pauses, cold starts and rate limits that endpoints announce
+//! in responses. They apply to everything that this gateway sends, whatever kind of call the
+//! response belongs to and however that call ended.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,7 +16,8 @@
 use crate::message::Timestamp;
 
 impl GatewayCore {
-    /// An endpoint said something of itself in an answer: when the message went out, and when the answer was read.
+    /// Handles the status headers of a response: `sent` is when the message was sent, `at` when the
+    /// response's head was read.
     pub(super) fn stated(
         &mut self,
         endpoint: &Arc<Endpoint>,
@@ -58,9 +60,10 @@
         });
     }
 
-    /// An endpoint told how much longer it is cold; says whether it was taken for warm until now.
+    /// Records how much longer an endpoint is cold; returns whether it counted as warm until now.
     ///
-    /// Owners hear it, too: whoever the endpoint answered, all of this gateway's calls count in what it bears.
+    /// Owners are informed, too: whichever call the endpoint responded to, all calls of this
+    /// gateway share its reduced capacity.
     fn is_cold(
         &mut self,
         endpoint: &Endpoint,
@@ -73,7 +76,7 @@
         !left.is_zero() && !was_cold
     }
 
-    /// Another gateway tells of endpoints that leave.
+    /// Handles departures that a peer reports.
     pub(super) fn departures_told(
         &mut self,
         from: SocketAddr,
@@ -85,10 +88,11 @@
         }
     }
 
-    /// A life of an endpoint leaves, by its own word or another gateway's.
+    /// Handles the departure of an incarnation of an endpoint, announced by itself or by a peer.
     ///
-    /// The table has it as leaving, so everything that keeps away from endpoints which the list calls leaving does
-    /// so from now on, at whatever stage its request is: a rule of its own for each way of calling would miss one.
+    /// The table marks the endpoint as leaving. So everything that avoids endpoints that the list
+    /// marks as leaving avoids this one from now on, at any stage of a request; separate rules for
+    /// each way of calling would miss one.
     pub(super) fn departed(&mut self, departure: Departure, source: &str, now: Timestamp) {
         let was_full = self.departures.is_full();
         if !self.departures.heard(departure.clone(), now) {
@@ -114,9 +118,10 @@
         self.entries_may_prove(&[id], now);
     }
 
-    /// An endpoint asked for a pause; says until when it gets one, if that is new.
+    /// Starts the pause that an endpoint asked for; returns its end if it is new.
     ///
-    /// Requests and owners share what is known: the endpoint means this gateway, not the part of it that had asked.
+    /// Requests and owners share it: the pause is for this gateway, not for the part of it that
+    /// sent the request.
     fn paused(
         &mut self,
         endpoint: &Arc<Endpoint>,
@@ -132,13 +137,13 @@
         Some(until)
     }
 
-    /// The table keeps no departures that are forgotten.
+    /// Removes departures from the table that are no longer kept.
     fn forget_departed(&mut self) {
         let departures = &self.departures;
         self.table.forget_departed(|departure| departures.has(departure));
     }
 
-    /// Whether the list tells what is known of a departure, or knows nothing of the endpoint any more.
+    /// Whether the list already marks the endpoint of a departure as leaving, or no longer has it.
     fn is_listed_as_leaving(&self, departure: &Departure) -> bool {
         match self.documents.state(&departure.endpoint) {
             EntryState::Leaving | EntryState::Gone => true,
@@ -146,7 +151,7 @@
         }
     }
 
-    /// Departures that go with the next heartbeat; those of long ago are forgotten.
+    /// Returns the departures to send with the next heartbeat, and removes expired ones.
     pub(super) fn news_of_departures(&mut self, now: Timestamp) -> Vec<Departure> {
         if self.departures.is_empty() {
             return Vec::new();
@@ -165,12 +170,13 @@
         news
     }
 
-    /// Departures that a gateway is told which is heard for the first time.
+    /// Departures to send to a peer that is new.
     pub(super) fn all_departures(&self) -> Vec<Departure> {
         self.departures.all(|departure| self.is_listed_as_leaving(departure))
     }
 
-    /// Probes an endpoint, after its pause if it asked for one: its entry may tell before that.
+    /// Probes an endpoint, or defers the probe to the end of its pause; its entry may give the
+    /// answer before.
     pub(super) fn probe_unless_paused(&mut self, endpoint: Arc<Endpoint>, now: Timestamp) {
         match self.backoffs.until(&endpoint, now) {
             Some(until) => {
@@ -180,7 +186,7 @@
         }
     }
 
-    /// Probes whose pauses are over.
+    /// Sends deferred probes whose pauses are over.
     pub(super) fn probe_later_ones(&mut self, now: Timestamp) {
         if self.later_probes.is_empty() {
             return;
--- a/src/direct/event.rs
+++ b/src/direct/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a gateway that calls endpoints directly, and what it has its shell do.
+//! Input events of the gateway core and the actions that its shell carries out.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -22,466 +22,468 @@
 use crate::direct::statement::{Asked, Statement};
 use crate::message::Timestamp;
 
-/// What a caller asks, as far as decisions depend on it.
+/// Caller's request, as far as decisions depend on it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct IncomingRequest {
-    /// The caller's id of the request.
+    /// Request id given by the caller.
     pub id: Name,
-    /// The host that it names.
+    /// Host that the request names.
     pub host: String,
-    /// Its path.
+    /// Path of the request.
     pub path: String,
-    /// The key that it shows.
+    /// API key of the request.
     pub key: Option<String>,
     /// How long the caller waits.
     pub timeout: Option<Duration>,
-    /// What is to be generated, where the request says so.
+    /// Size of the requested generation, where the request states it.
     pub generation: Option<Generation>,
-    /// Pieces of each stage.
+    /// Number of pieces in each stage.
     pub pieces: Vec<usize>,
-    /// The key of pieces that need no other.
+    /// Key for pieces without inputs, passed on to their endpoints.
     pub piece_key: Option<Name>,
-    /// The last event that the caller has.
+    /// Id of the last stream event that the caller has received.
     pub after_event: Option<String>,
-    /// What it holds, told from its method, path and body.
+    /// Fingerprint of method, path and body.
     pub content: Fingerprint,
 }
 
 impl IncomingRequest {
-    /// Whether any piece of a stage is to be made for it.
+    /// Whether any stage has pieces for this request.
     pub fn has_pieces(&self) -> bool {
         self.pieces.iter().any(|&pieces| pieces > 0)
     }
 }
 
-/// The size of a generation and the parts of its prompt.
+/// Size of a generation and the parts of its prompt.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Generation {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens that are made at most.
+    /// Maximum number of output tokens.
     pub output_tokens: u64,
-    /// Parts of the prompt in order: id and tokens.
+    /// Parts of the prompt in order: id and number of tokens.
     pub parts: Vec<(String, u64)>,
 }
 
-/// What happens to a gateway.
+/// Input event of the gateway core.
 #[derive(Debug)]
 pub enum Event {
-    /// A caller asks.
+    /// A caller submitted a request.
     Submit {
-        /// Chosen by the shell.
+        /// Number of the caller's request, chosen by the shell.
         caller: u64,
-        /// What is asked.
+        /// The request.
         incoming: IncomingRequest,
     },
-    /// The caller went away.
+    /// The caller closed its connection.
     CallerDisconnected {
-        /// Who.
+        /// Number of the caller's request.
         caller: u64,
     },
-    /// An endpoint answered a request, as a whole or with the head of a stream.
+    /// An endpoint responded to a request, with a complete response or the head of a stream.
     Answered {
-        /// Whose.
+        /// Number of the caller's request.
         caller: u64,
-        /// In which attempt.
+        /// Number of the attempt.
         attempt: u64,
-        /// What it proves.
+        /// What the response proves.
         proof: AnswerProof,
-        /// Whether more follows, as events.
+        /// Whether stream events follow.
         is_open: bool,
     },
-    /// A call for a request failed before its answer.
+    /// A call for a request failed before the head of a response.
     CallFailed {
-        /// Whose.
+        /// Number of the caller's request.
         caller: u64,
-        /// In which attempt.
+        /// Number of the attempt.
         attempt: u64,
-        /// How.
+        /// How the call failed.
         failure: CallFailure,
     },
-    /// A call that needs results goes out to its endpoint, over a connection that is up.
+    /// A call with inputs is being sent to its endpoint; the connection is up.
     CallSent {
-        /// The caller.
+        /// Number of the caller's request.
         caller: u64,
-        /// The attempt's number.
+        /// Number of the attempt.
         attempt: u64,
     },
-    /// The first event of a stream was passed on.
+    /// The first event of a stream was forwarded to the caller.
     FirstEvent {
-        /// Whose.
+        /// Number of the caller's request.
         caller: u64,
     },
-    /// A stream that was passed on ended.
+    /// A forwarded stream ended.
     StreamEnded {
-        /// Whose.
+        /// Number of the caller's request.
         caller: u64,
-        /// In which attempt.
+        /// Number of the attempt.
         attempt: u64,
-        /// Whether it is whole.
+        /// Whether the stream is complete.
         is_complete: bool,
-        /// The last event that was passed on.
+        /// Id of the last forwarded event.
         last_event: Option<String>,
     },
-    /// A call with pieces ended.
+    /// A batch call ended.
     BatchEnded {
-        /// Which.
+        /// Number of the batch call.
         call: u64,
-        /// How.
+        /// Outcome of the batch call.
         outcome: BatchOutcome,
     },
-    /// An endpoint said something of itself in the head of an answer.
+    /// A response contained endpoint status headers.
     EndpointStatus {
-        /// Which, in the life that was called.
+        /// The endpoint, with the incarnation that was called.
         endpoint: Arc<Endpoint>,
-        /// What it was asked.
+        /// Kind of message to which the endpoint responded.
         asked: Asked,
-        /// What it said.
+        /// Contents of the status headers.
         statement: Statement,
-        /// When the message went out that was answered.
+        /// When the message to which the endpoint responded was sent.
         sent: Timestamp,
-        /// When the head was read.
+        /// When the head of the response was read.
         at: Timestamp,
     },
-    /// An endpoint that works in batches told how it stands.
+    /// An endpoint of a batch pool reported its load.
     ReportReceived {
-        /// Which.
+        /// Id of the endpoint.
         endpoint: Name,
-        /// What it told.
+        /// The report.
         report: BatchReport,
-        /// When it was asked.
+        /// When the report was requested.
         requested_at: Timestamp,
     },
-    /// An endpoint did not tell how it stands, or not in time.
+    /// A load report was not received in time or was invalid.
     ReportFailed {
-        /// Which.
+        /// Id of the endpoint.
         endpoint: Name,
     },
-    /// An endpoint whose connections broke was probed.
+    /// An endpoint was probed after its connections failed.
     Probed {
-        /// Which.
+        /// Id of the endpoint.
         endpoint: Name,
-        /// The life that was meant.
+        /// Incarnation of the endpoint that was to be probed.
         incarnation: u64,
-        /// Whether its port is closed: its process is gone.
+        /// Whether its port is closed, which proves that its process ended.
         is_closed: bool,
     },
-    /// Another gateway speaks.
+    /// A peer sent a message.
     PeerMessage {
-        /// Who, by where its peers connect.
+        /// Address of the peer, at which it accepts connections.
         from: SocketAddr,
-        /// What.
+        /// The message.
         message: PeerMessage,
     },
-    /// A peer greeted, or answered a greeting.
+    /// A peer sent a greeting, or responded to one.
     PeerGreeted {
-        /// Who.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Its life.
+        /// Incarnation of the peer.
         incarnation: u64,
-        /// What it runs.
+        /// Build that the peer runs.
         build: Build,
     },
-    /// A peer said something that this build does not read.
+    /// A peer sent a message that this build can't read.
     PeerMessageUnreadable {
-        /// Who.
+        /// Address of the peer.
         from: SocketAddr,
-        /// The compact form that its greeting named.
+        /// Compact message form that the peer's greeting announced.
         announced_form: u32,
-        /// Why.
+        /// What can't be read.
         unread: Unread,
     },
-    /// The connection from this life of a peer broke.
+    /// The connection from a peer failed.
     PeerInboundFailed {
-        /// Who.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Its life.
+        /// Incarnation of the peer that had opened the connection.
         incarnation: u64,
     },
-    /// The connection to a peer broke.
+    /// The connection to a peer failed.
     PeerOutboundFailed {
-        /// Who.
+        /// Address of the peer.
         address: SocketAddr,
     },
-    /// No connection to a peer could be made.
+    /// No connection to a peer could be established.
     PeerUnreachable {
-        /// Who.
+        /// Address of the peer.
         address: SocketAddr,
     },
-    /// Documents of the publisher.
+    /// Configurations or endpoint entries were read from the publisher's store.
     Published {
-        /// Some or all.
+        /// The documents that changed, or all of them.
         documents: Vec<Revised>,
-        /// Where these are the whole list of endpoints.
+        /// Position of the endpoint list if `documents` holds the complete list.
         snapshot_at: Option<Position>,
     },
-    /// Orders to evacuate data centres were given or taken back.
+    /// Evacuation orders were read from the publisher's store.
     Evacuations {
-        /// Some changes, or all orders that stand.
+        /// Orders that were given or withdrawn, or all orders in force.
         changes: Vec<Evacuation>,
-        /// Where these are all that stand.
+        /// Position of the orders if `changes` holds all orders in force.
         snapshot_at: Option<Position>,
     },
-    /// A document of the publisher can't be read: it names nothing to use.
+    /// A document in the publisher's store is invalid and is not used.
     Unreadable {
-        /// Its key.
+        /// Key of the document.
         key: String,
-        /// Why.
+        /// Why it is invalid.
         cause: String,
     },
-    /// Fields of a document of the publisher are not known, and passed over.
+    /// A document or response has fields that this build does not know; they are ignored.
     UnknownFields {
-        /// What it is.
+        /// Kind of document.
         document: &'static str,
-        /// Their names.
+        /// Names of the unknown fields.
         fields: BTreeSet<String>,
     },
-    /// The publisher answers, or stopped to.
+    /// The publisher's store became available or unavailable.
     PublisherStatus {
-        /// Whether it answers.
+        /// Whether the store responds.
         answers: bool,
     },
-    /// The publisher's store named its era in an answer.
+    /// A response of the publisher's store named the store's era.
     StoreEra {
-        /// The era.
+        /// Era of the store.
         era: u64,
     },
-    /// Something came of a configuration that is read from the publisher.
+    /// More bytes of a configuration arrived from the publisher's store.
     ConfigurationReadProgress,
-    /// Something came of a configuration that a peer sends.
+    /// More bytes of a configuration arrived from a peer.
     ConfigurationPullProgress {
-        /// Who.
+        /// Address of the peer.
         from: SocketAddr,
-        /// What came so far.
+        /// Bytes received so far.
         progress: Progress,
     },
-    /// A peer broke off while it sent a configuration.
+    /// The connection failed while a peer sent a configuration.
     ConfigurationPullAborted {
-        /// Who.
+        /// Address of the peer.
         from: SocketAddr,
-        /// The number of the pull that it answered; 0 if it didn't tell.
+        /// Number of the pull to which the peer responded; 0 if the peer did not name it.
         pull: u64,
     },
-    /// A long answer of the publisher ended, or one failed.
+    /// A long read of the publisher's store ended, or any read failed.
     StoreRead(StoreRead),
-    /// The settings name other seeds.
+    /// The settings were reloaded with other seeds.
     Seeds(Vec<SocketAddr>),
-    /// The process was told to stop.
+    /// The process received the signal to stop.
     Drain {
-        /// When; the core may hear of it later.
+        /// When the signal arrived; the core may handle this event later.
         at: Timestamp,
     },
     /// The process ends now.
     Shutdown,
-    /// Time has passed.
+    /// A timer expired.
     Tick,
 }
 
-/// How a request is handed to an endpoint.
+/// Parameters of a request's call to an endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallSpec {
-    /// Where.
+    /// The endpoint.
     pub endpoint: Arc<Endpoint>,
-    /// How long the endpoint may work.
+    /// Time limit for the endpoint's response.
     pub timeout: Duration,
-    /// The organisation that asks.
+    /// Organisation of the caller.
     pub organisation: Option<Name>,
-    /// Results that it needs.
+    /// Handles of the results that the request needs.
     pub inputs: Vec<Handle>,
-    /// The last event that was passed on, in a stream that goes on.
+    /// Id of the last forwarded event if the call resumes a stream.
     pub after_event: Option<String>,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Whether the endpoint may be called over a connection that was used before.
+    /// Whether an already used connection to the endpoint may be reused.
     pub reuse_connection: bool,
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub streams: bool,
-    /// Connections to the endpoint that this gateway may hold.
+    /// Maximum number of connections from this gateway to the endpoint.
     pub connections: usize,
-    /// Until when it may go out to an endpoint with a limit.
+    /// When the permit expires, for an endpoint with a rate limit.
     pub permit: Option<Timestamp>,
 }
 
-/// One piece of a call.
+/// One piece of a batch call.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PieceSpec {
-    /// The caller's id of the request.
+    /// Request id given by the caller.
     pub request: Name,
-    /// The stage's position.
+    /// Index of the stage in the pipeline.
     pub stage: usize,
-    /// The piece's position.
+    /// Index of the piece in the stage.
     pub piece: usize,
-    /// Time that remains.
+    /// Time until the request's deadline.
     pub remaining: Duration,
-    /// The key, for a stage that needs no other.
+    /// Key of the piece, for a stage without inputs.
     pub key: Option<Name>,
-    /// The results that it needs, for a stage that does.
+    /// Handles of the piece's inputs, for a stage with inputs.
     pub inputs: Vec<Handle>,
 }
 
-/// Why a request gets no answer of an endpoint.
+/// Why a request was refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refused {
-    /// This gateway knows too little.
+    /// This gateway has no configuration yet.
     NoConfiguration,
-    /// This gateway stops.
+    /// This gateway is stopping.
     Draining,
-    /// Nothing stands there.
+    /// No route matches the host and path.
     UnknownRoute,
-    /// The key is missing or nobody's.
+    /// The API key is missing or unknown.
     UnknownKey,
-    /// The request lacks what its route needs.
+    /// The request lacks something that its route requires.
     BadRequest(&'static str),
-    /// Its stages or its run would come too late.
+    /// Its stages or its run would not end before the deadline.
     Overloaded,
-    /// No endpoint takes it.
+    /// No endpoint accepts the request.
     NoEndpoint,
-    /// No endpoint that takes it stands in a region where it may run.
+    /// No endpoint that accepts the request is in an allowed region.
     NoEndpointAtHome,
-    /// Every endpoint that takes it is cold, and what they bear is used.
+    /// Every endpoint that accepts the request is cold, and their reduced capacity is used up.
     AllCold,
-    /// Every endpoint that takes it asked this gateway for a pause, or gets requests again by degrees.
+    /// Every endpoint that accepts the request asked this gateway for a pause, or receives a
+    /// gradually growing number of requests after one.
     AllPaused,
-    /// Every endpoint that takes it named a limit, and its turn at the first of them would come too late.
+    /// Every endpoint that accepts the request has a rate limit, and the earliest permit would be
+    /// issued too late.
     AllLimited,
-    /// Its time is over; what runs is stopped.
+    /// The deadline passed; whatever runs is cancelled.
     TimedOut,
-    /// It may have run, and its answer can't be had.
+    /// The request may have run, and its response is lost.
     OutcomeUnknown,
-    /// It failed, and the budget holds no repeat.
+    /// The request failed, and the repeat budget is used up.
     RepeatBudget,
-    /// Endpoints crashed under what it holds.
+    /// Endpoints crashed while they ran requests with the same content.
     Poison,
 }
 
-/// A final answer without an endpoint's.
+/// Response of the gateway to a request that gets none from an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request is refused.
     pub reason: Refused,
-    /// Whether it is certain that it has not run and never will.
+    /// Whether the request certainly has not run and never will.
     pub not_run: bool,
-    /// When to come back.
+    /// How long the caller should wait before it tries again.
     pub retry_after: Duration,
 }
 
-/// What the shell must do.
+/// Action that the shell carries out.
 #[derive(Debug)]
 pub enum Action {
-    /// Hand a request to an endpoint.
+    /// Call an endpoint with a request.
     Call {
-        /// Whose.
+        /// Number of the caller's request.
         caller: u64,
-        /// The new attempt.
+        /// Number of the new attempt.
         attempt: u64,
-        /// How.
+        /// Parameters of the call.
         order: CallSpec,
     },
-    /// Let go of an attempt: its endpoint must stop.
+    /// Cancel an attempt; its endpoint stops working on it.
     CancelAttempt {
-        /// Whose.
+        /// Number of the caller's request.
         caller: u64,
-        /// Which.
+        /// Number of the attempt.
         attempt: u64,
     },
-    /// Pass on the answer of an attempt, and what follows.
+    /// Forward the response of an attempt, and the stream events that follow.
     Deliver {
-        /// To whom.
+        /// Number of the caller's request.
         caller: u64,
-        /// Of which attempt.
+        /// Number of the attempt.
         attempt: u64,
     },
-    /// Refuse.
+    /// Refuse a request.
     Refuse {
-        /// Whom.
+        /// Number of the caller's request.
         caller: u64,
-        /// Why.
+        /// The refusal.
         refusal: Refusal,
     },
-    /// End a stream that is whole.
+    /// End a complete stream.
     EndStream {
-        /// To whom.
+        /// Number of the caller's request.
         caller: u64,
     },
-    /// Break a stream off so that it doesn't look whole.
+    /// Abort a stream, so that the caller sees that it is incomplete.
     AbortStream {
-        /// To whom.
+        /// Number of the caller's request.
         caller: u64,
     },
-    /// Call an endpoint with pieces.
+    /// Send a batch call.
     CallBatch {
-        /// The new call.
+        /// Number of the new batch call.
         call: u64,
-        /// Where.
+        /// The endpoint.
         endpoint: Arc<Endpoint>,
-        /// What.
+        /// Pieces of the call.
         pieces: Vec<PieceSpec>,
-        /// When the call is given up.
+        /// Time limit for the call.
         timeout: Duration,
-        /// Until when it may go out to an endpoint with a limit.
+        /// When the permit expires, for an endpoint with a rate limit.
         permit: Option<Timestamp>,
     },
-    /// Ask an endpoint that works in batches how it stands.
+    /// Request a load report from an endpoint of a batch pool.
     RequestReport(Arc<Endpoint>),
-    /// See whether an endpoint's port is closed.
+    /// Check whether an endpoint's port is closed.
     Probe(Arc<Endpoint>),
-    /// What requests and owners tell of what they run; the core keeps it for itself.
+    /// Result of a run, for the detection of poison requests; handled within the core.
     PoisonReport(Report),
-    /// Let nothing more go out to this life of an endpoint, of what was ordered before: until a time, or without one no
-    /// new work for good.
+    /// Send nothing to an endpoint until a time, not even what is already queued. Without a time,
+    /// send it no new work at all.
     BlockSends {
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: Name,
-        /// Its life.
+        /// Incarnation of the endpoint.
         incarnation: u64,
-        /// Until when.
+        /// When messages may be sent again.
         until: Option<Timestamp>,
     },
-    /// What requests and owners want permits for; the core keeps it for itself.
+    /// Request a permit for a message; handled within the core.
     RequestPermit(Wanted),
-    /// Let nothing go out to this life of an endpoint without a permit, or let everything again.
+    /// Require permits for messages to an endpoint, or no longer require them.
     RequirePermits {
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: Name,
-        /// Its life.
+        /// Incarnation of the endpoint.
         incarnation: u64,
-        /// Whether permits are needed.
+        /// Whether permits are required.
         is_limited: bool,
     },
-    /// Tell a maker that results aren't needed any more.
+    /// Let an endpoint free results that are no longer needed.
     FreeResults {
-        /// Where.
+        /// Endpoint that holds the results.
         endpoint: Arc<Endpoint>,
-        /// Which.
+        /// Handles of the results.
         handles: Vec<Handle>,
-        /// Until when that may go out to an endpoint with a limit.
+        /// When the permit expires, for an endpoint with a rate limit.
         permit: Option<Timestamp>,
     },
-    /// Tell another gateway.
+    /// Send a message to a peer.
     Send {
-        /// Whom.
+        /// Address of the peer.
         to: SocketAddr,
-        /// What.
+        /// The message.
         message: PeerMessage,
     },
-    /// Tell several other gateways the same.
+    /// Send a message to several peers.
     Broadcast {
-        /// Whom.
+        /// Addresses of the peers.
         to: Vec<SocketAddr>,
-        /// What.
+        /// The message.
         message: PeerMessage,
     },
-    /// Give up the connection to another gateway: what is told next goes over a new one.
+    /// Close the connection to a peer; the next message opens a new one.
     Disconnect {
-        /// From whom.
+        /// Address of the peer.
         from: SocketAddr,
     },
-    /// Whether the process calls itself ready.
+    /// Report the process as ready, or as not ready.
     SetReady(bool),
-    /// What callers may send.
+    /// Set the limits on requests of callers.
     SetCallerLimits(CallerLimits),
-    /// The store is in a newer era: what is followed of earlier ones is void.
+    /// The store is in a newer era; reads and watches of earlier eras are invalid.
     SetStoreEra(u64),
-    /// Write a line.
+    /// Write a log event.
     Log(LogEvent),
 }
--- a/src/direct/mod.rs
+++ b/src/direct/mod.rs
@@ -1,17 +1,19 @@
-//! A gateway that calls endpoints directly: endpoints that state for themselves what has not run.
+//! Gateway that calls endpoints directly; endpoints state in their responses what has not run.
 //!
-//! `core` decides and holds all state, without I/O or clock. Parts of its implementation: `publication` (published
-//! documents), `peer_messages` (messages of other gateways), `endpoint_status` (status headers in endpoints' answers),
-//! `poison_detection`, `rate_limits`, `store_restore` and `readiness`. `shell` does the I/O. What is
-//! published, how callers ask and how endpoints are called is translated by an adapter (see `client`).
+//! `core` makes all decisions and holds all state, without I/O or clock; `shell` does the I/O. The
+//! core's implementation continues in `publication` (published documents), `peer_messages`
+//! (messages between gateways), `endpoint_status` (status headers of endpoints),
+//! `poison_detection`, `rate_limits`, `store_restore` and `readiness`. An adapter (see `client`)
+//! translates the published documents, the front end's protocol and the endpoints' protocol.
 //!
-//! - `published`: routes, pools and endpoints, merged from any source and compiled.
-//! - `peers`: the other gateways, what they say, and what is asked of them.
-//! - `requests`: callers' requests of this gateway, each with one final answer.
-//! - `poison`: requests that crash the endpoints which run them.
-//! - `owner`: the pools that work in batches, for as long as this gateway owns them.
+//! - `published`: routes, pools and endpoints, merged from all sources and compiled.
+//! - `peers`: the other gateways, their messages, and pulls from them.
+//! - `requests`: requests of this gateway's callers, each with one final response.
+//! - `poison`: requests that crash the endpoints that run them.
+//! - `limits`: rate limits of endpoints and the permits for them.
+//! - `owner`: batch pools, while this gateway owns them.
 //!
-//! `requests` and `owner` speak by messages only, also within one gateway.
+//! `requests` and `owner` communicate by messages only, also within one gateway.
 
 pub mod answers;
 pub mod backoff;
--- a/src/direct/peer_messages.rs
+++ b/src/direct/peer_messages.rs
@@ -1,4 +1,4 @@
-//! What other gateways say to this one, and what it tells them of itself.
+//! Messages between gateways: handles those of peers, and sends this gateway's gossip.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,8 +18,9 @@
 use crate::message::Timestamp;
 
 impl GatewayCore {
-    /// Whether this gateway ends a job that another one or itself submits: what it has, it ends; new
-    /// ones only where they are made before the process ends.
+    /// Whether this gateway accepts a job that a peer or itself submits. A job that it already has
+    /// is always accepted; while the process stops, a new one only if its stages can end before the
+    /// process does.
     fn takes_job(&self, job: &Job, from: SocketAddr, now: Timestamp) -> bool {
         if self.owners.has(&job.id) {
             return true;
@@ -54,7 +55,7 @@
                 for member in heard.ended {
                     self.peer_lost(member.address, member.incarnation, "restarted", now);
                 }
-                // Who starts learns at once who is there, not with the next heartbeat.
+                // A gateway that starts receives the members at once, not with the next heartbeat.
                 let newly_heard = heard.alive.iter().any(|m| m.address == from);
                 for member in heard.alive {
                     self.log(LogEvent::Peer {
@@ -109,7 +110,7 @@
         }
     }
 
-    /// A gateway has answered; one with a complete state is enough.
+    /// Records that a peer responded; one peer with a complete state is enough to become ready.
     fn met(&mut self, from: SocketAddr, complete: bool) {
         if complete {
             self.unmet.clear();
@@ -145,7 +146,7 @@
         self.limiter_lost(address, now);
     }
 
-    /// A peer said which build it runs.
+    /// Handles a peer's greeting, which names its build.
     pub(super) fn greeted(&mut self, address: SocketAddr, incarnation: u64, build: &Build) {
         match self.builds.greeted(address, incarnation, build) {
             Greeted::AsBefore => {}
@@ -166,8 +167,9 @@
         self.log(LogEvent::PeerBuild { address, incarnation, version, commit, form, heard });
     }
 
-    /// A peer said what this build does not read. Whoever submitted a job hears at once that it is not begun here; what
-    /// else was lost is said again: its connection ends where its form is unknown, and a peer is greeted then.
+    /// Handles a peer's message that this build can't read. A gateway that submitted a job learns
+    /// at once that the job is not accepted here. Other lost messages are sent again: an unknown
+    /// form ends the connection, and a new greeting follows.
     pub(super) fn unread(&mut self, from: SocketAddr, announced_form: u32, unread: Unread) {
         let (form, cause) = match unread {
             Unread::Form(form) => (form, "unknown form"),
@@ -181,7 +183,7 @@
         }
     }
 
-    /// A job is not begun here: its gateway has it begun elsewhere.
+    /// Refuses a job, so that its gateway submits it elsewhere.
     fn refuse_job(&mut self, job: JobId, to: SocketAddr) {
         let (reason, untouched, retry_after) = (JobReason::NotOwner, true, Duration::ZERO);
         self.tell(to, PeerMessage::GivenUp { job, reason, untouched, retry_after });
@@ -215,8 +217,9 @@
         self.out.push(Action::Broadcast { to, message });
     }
 
-    /// A peer's connection broke. If it is gone, it can't be reached; if it lives, what was on the
-    /// way may be lost: its owner is told again what it has of this gateway.
+    /// Sends to a peer whose connection failed. If the peer is down, the attempt shows that it is
+    /// unreachable. If it is up, messages in transit may be lost, so the jobs that it has of this
+    /// gateway are submitted to it again.
     pub(super) fn probe(&mut self, address: SocketAddr, now: Timestamp) {
         let message = self.gossip(Vec::new(), Vec::new(), now);
         self.tell(address, message);
--- a/src/direct/poison_detection.rs
+++ b/src/direct/poison_detection.rs
@@ -1,5 +1,5 @@
-//! The core's part for poison requests: it gathers what requests and owners tell of endpoints that crashed, hears
-//! and tells other gateways, and hands out what is refused.
+//! Detection of poison requests: collects evidence of crashed endpoints from requests and owners,
+//! exchanges suspects with other gateways, and distributes what is quarantined.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,12 +20,13 @@
 use crate::direct::published::model::Name;
 use crate::message::Timestamp;
 
-/// One other gateway is asked this often whether it knows something else: who missed the news, cut off or not
-/// yet started, has it in time. A digest of ten bytes where nothing is new.
+/// Interval at which one random peer is asked for suspects that this gateway lacks. A gateway that
+/// missed updates, because it was cut off or not started yet, gets them in time. The message is a
+/// digest of ten bytes where nothing differs.
 const ASKED_EVERY: Duration = Duration::from_secs(2);
 
 impl GatewayCore {
-    /// Requests or owners tell what became of something that they ran.
+    /// Handles the result of a run that requests or owners report.
     pub(super) fn poison_reported(&mut self, report: Report, now: Timestamp) {
         match report {
             Report::Unanswered { endpoint, runs, how } => {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// A content ran well: no endpoint crashed because of it.
+    /// Clears a fingerprint that ran without a crash: it was not the cause of one.
     fn clear(&mut self, fingerprint: Fingerprint, now: Timestamp) {
         if !self.suspects.knows(fingerprint) {
             return;
@@ -54,7 +55,7 @@
         self.hand_out_suspects(quarantined, "own", now);
     }
 
-    /// An endpoint was probed.
+    /// Handles the result of an endpoint's probe.
     pub(super) fn probed(
         &mut self,
         endpoint: &Name,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Entries of endpoints changed, which may prove that they crashed.
+    /// Checks changed endpoint entries for evidence of a crash.
     pub(super) fn entries_may_prove(&mut self, ids: &[Name], now: Timestamp) {
         let documents = &self.documents;
         let is_gone = |id: &str| documents.state(id) == EntryState::Gone;
@@ -103,7 +104,7 @@
         self.next_beat = Timestamp::ZERO;
     }
 
-    /// Another gateway tells what it knows.
+    /// Merges the suspects that a peer sent.
     pub(super) fn suspects_told(&mut self, from: SocketAddr, told: &[Account], now: Timestamp) {
         let crashed = self.broken.told(told, now);
         let news = told.iter().filter(|account| self.suspects.is_news(account, now));
@@ -119,14 +120,14 @@
         self.endpoints_crashed(crashed, now);
     }
 
-    /// Another gateway asks, which knows what has this digest.
+    /// Responds to a peer that asks for suspects, unless its digest is the same.
     pub(super) fn suspects_asked(&mut self, from: SocketAddr, digest: u64, now: Timestamp) {
         if digest != self.suspects.digest() {
             self.tell(from, PeerMessage::Suspects(self.suspects.accounts(now)));
         }
     }
 
-    /// Requests and owners go by what is known now.
+    /// Distributes the current suspects to requests and owners.
     fn hand_out_suspects(&mut self, quarantined: Vec<Quarantined>, source: &str, now: Timestamp) {
         for Quarantined { fingerprint, endpoints } in &quarantined {
             let (fingerprint, endpoints) = (fingerprint.to_string(), endpoints.clone());
@@ -139,8 +140,8 @@
         self.owners.set_suspects(&self.suspects, &quarantined, &self.table);
     }
 
-    /// With a heartbeat: tells news of suspects to whom it goes, forgets old ones, and asks another gateway now
-    /// and then, a newly heard one with the next heartbeat.
+    /// Sends suspect updates with a heartbeat to the same peers, removes expired suspects, and asks
+    /// a random peer for its suspects when that is due.
     pub(super) fn tell_suspects(&mut self, to: &[SocketAddr], now: Timestamp) {
         self.broken.forget(now);
         if self.suspects.is_outdated(now) {
@@ -161,7 +162,8 @@
         }
     }
 
-    /// A gateway was heard for the first time, or once more: whichever missed something asks soon.
+    /// Asks a peer for suspects with the next heartbeat: a peer is new or back, and either side may
+    /// have missed updates.
     pub(super) fn ask_suspects_soon(&mut self, now: Timestamp) {
         self.next_ask = self.next_ask.min(now + HEARTBEAT);
     }
--- a/src/direct/publication.rs
+++ b/src/direct/publication.rs
@@ -1,5 +1,5 @@
-//! How a gateway follows what is published: it merges what comes from the publisher's store and from
-//! peers, asks peers for what it lacks, and gives them what they ask for.
+//! Published documents: merges what the publisher's store and peers send, pulls missing documents
+//! from peers, and serves their pulls.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,47 +19,53 @@
 use crate::direct::published::store_read::StoreRead;
 use crate::message::Timestamp;
 
-/// A watch of the publisher's store waits for so long where few gateways watch: what one over a silent
-/// connection doesn't tell is known after that, in time also where all connections fall silent at once.
+/// Minimum wait of a watch of the publisher's store. A change that a silent connection does not
+/// deliver is read by the next watch, soon enough even if all connections fall silent at once.
 const SHORTEST_WATCH: Duration = Duration::from_secs(2);
-/// Where many do, the first of them to ask again tells all: their watches end this often together.
+/// Average interval between the ends of two watches of a large group of gateways. The first gateway
+/// whose new watch returns a change sends it to all others.
 const WATCH_ENDS: Duration = Duration::from_millis(250);
-/// Endpoints write their entries one after the other, and each watch that hears of one is a call that costs:
-/// between two that heard something, changes gather for so long at least.
+/// Minimum delay between a watch that returned changes and the next one. Endpoints write their
+/// entries one after the other, and each watch is a call with a cost, so changes accumulate for
+/// this long.
 pub const SHORTEST_GATHER: Duration = Duration::from_millis(250);
-/// Where many gateways watch, one of them goes on this often after a change, and tells the others. Beyond 133
-/// gateways, where [`LONGEST_WATCH`] bounds the rest, calls grow with the gateways.
+/// Average interval at which the gateways of a large group resume watching after a change; the
+/// first one sends the changes since to the others. Beyond 133 gateways, where [`LONGEST_WATCH`]
+/// caps the delay, the number of calls grows with the number of gateways.
 const GATHER_ENDS: Duration = Duration::from_millis(60);
-/// After an era has begun all gateways read everything anew: within so long for each of them, ...
+/// Random delay before a reread of the store in a new era, per gateway, since all gateways reread
+/// everything.
 const REREAD_EACH: Duration = Duration::from_millis(4);
-/// ... and no later than that.
+/// Maximum random delay before a reread of the store in a new era.
 const LONGEST_REREAD: Duration = Duration::from_secs(1);
-/// Each watch is a call that costs.
+/// Maximum wait of a watch; long, since each watch is a call with a cost.
 const LONGEST_WATCH: Duration = Duration::from_secs(8);
 
 impl GatewayCore {
-    /// How long a watch of the publisher's store waits. Of 28 gateways, whose watches end at random times
-    /// every 7 s, none asks again within 2.3 s once in 70,000 times.
+    /// How long a watch of the publisher's store waits. With 28 gateways, whose watches end at
+    /// random times every 7 s, no gateway starts a new watch within 2.3 s in one of 70,000 cases.
     pub fn watch_wait(&self) -> Duration {
         let watching = self.members.alive().count() as u32 + 1;
         (WATCH_ENDS * watching).clamp(SHORTEST_WATCH, LONGEST_WATCH)
     }
 
-    /// Between which times a gateway that heard of a change of the list goes on to watch. Whoever goes on
-    /// first tells the others what came meanwhile, so a change costs a call of each gateway only after a quiet
-    /// time. Of 103 gateways 2,714 calls came on a quiet day, and 4,051 when all went on after 250 ms.
+    /// Range of the random delay between a watch that returned a change of the endpoint list and
+    /// the next watch. The gateway that resumes first sends the changes since to the others, so a
+    /// change costs one call per gateway only after a quiet period. 103 gateways made 2,714 calls
+    /// on a quiet day, and 4,051 when all of them resumed after 250 ms.
     pub fn gather_within(&self) -> RangeInclusive<Duration> {
         let watching = self.members.alive().count() as u32 + 1;
         SHORTEST_GATHER..=(GATHER_ENDS * watching).clamp(SHORTEST_GATHER, LONGEST_WATCH)
     }
 
-    /// The random delay before a gateway reads everything again for an era that a peer reported.
+    /// Maximum of the random delay before this gateway rereads the store for an era that a peer
+    /// reported.
     pub fn reread_within(&self) -> Duration {
         let watching = self.members.alive().count() as u32 + 1;
         (REREAD_EACH * watching).min(LONGEST_REREAD)
     }
 
-    /// The publisher's store gave documents, or the whole list as it stood at `snapshot_at`.
+    /// Merges documents from the publisher's store, or the complete list at `snapshot_at`.
     pub(super) fn published(
         &mut self,
         documents: Vec<Revised>,
@@ -81,16 +87,17 @@
         self.merged(&merged, PUBLISHER, true, now);
     }
 
-    /// A read of the publisher's store was long, or failed.
+    /// Handles a long or failed read of the publisher's store.
     pub(super) fn store_read(&mut self, read: &StoreRead) {
-        // What a whole one gave follows as published; until then it is on its way.
+        // A complete read is followed by its documents, which end the read; only a failed one ends
+        // here.
         if read.subject == StoreRead::CONFIGURATION && read.outcome != StoreRead::WHOLE {
             self.pulls.read_ended();
         }
         self.log(LogEvent::store_read(read));
     }
 
-    /// A peer sent its configuration.
+    /// Merges the configuration that a peer sent.
     pub(super) fn on_configuration(
         &mut self,
         from: SocketAddr,
@@ -105,9 +112,11 @@
         self.merged(&merged, &from.to_string(), false, now);
     }
 
-    /// A peer sent entries of endpoints: the whole list with `listed_at`, up to where it has seen them.
+    /// Merges endpoint entries that a peer sent. `listed_at` is the position of its list if the
+    /// entries are complete up to there.
     ///
-    /// Who is in an earlier era than the peer gets all that the peer has: whatever else is known is not there any more.
+    /// A gateway in an earlier era than the peer receives the peer's complete list; endpoints that
+    /// are not in it no longer exist.
     pub(super) fn on_documents(
         &mut self,
         from: SocketAddr,
@@ -135,14 +144,14 @@
         self.merged(&merged, &source, false, now);
     }
 
-    /// Tells what became of a pull.
+    /// Logs the outcome of a pull.
     pub(super) fn log_pull(&mut self, peer: SocketAddr, outcome: &'static str) {
         let Seen { version, endpoints } = self.documents.seen();
         let Position { era, revision: endpoints } = endpoints;
         self.log(LogEvent::Pull { peer, outcome, version, era, endpoints });
     }
 
-    /// What this gateway has.
+    /// State of this gateway's documents, from which pulls are derived.
     pub(super) fn own(&self) -> Own {
         Own {
             seen: self.documents.seen(),
@@ -151,8 +160,8 @@
         }
     }
 
-    /// A peer asks for what it lacks: entries of endpoints, and with `configuration`, the number of its
-    /// pull, also a newer configuration.
+    /// Responds to a peer's pull with the endpoint entries that it lacks. `configuration` is the
+    /// number of a pull that asks for a newer configuration, too.
     pub(super) fn on_pull(&mut self, from: SocketAddr, seen: Seen, configuration: Option<u64>) {
         let seen = Seen { endpoints: self.eras.adopt(seen.endpoints), ..seen };
         let documents = self.documents.endpoints_after(seen.endpoints);
@@ -173,7 +182,7 @@
         }
     }
 
-    /// A peer gives no configuration to this pull.
+    /// Handles a pull to which a peer sends no configuration.
     pub(super) fn pull_failed(
         &mut self,
         peer: SocketAddr,
@@ -186,7 +195,7 @@
         }
     }
 
-    /// Tells that a newer configuration is in force, and since when it was known of.
+    /// Logs that a newer configuration is in force, and since when a peer had announced it.
     pub(super) fn log_configured(&mut self, before: u64, source: &str, now: Timestamp) {
         let version = self.documents.deployment().version;
         let told = self.pulls.configured(version, now);
@@ -199,8 +208,9 @@
         });
     }
 
-    /// What follows from a merge: lines, the table, and with `spread` a heartbeat at once, so that peers hear
-    /// of what the publisher gave.
+    /// Applies a merge: logs the changes, updates the table, and informs requests and owners. With
+    /// `spread`, a heartbeat is sent at once, so that peers learn of changes from the publisher's
+    /// store.
     pub(super) fn merged(&mut self, merged: &Merged, source: &str, spread: bool, now: Timestamp) {
         for life in &merged.leaving_on {
             self.departed(life.clone(), source, now);
@@ -230,7 +240,7 @@
             let incarnation = self.documents.endpoint(id).map_or(0, |e| e.incarnation);
             self.log(LogEvent::Restarted { endpoint: id.clone(), incarnation });
         }
-        // An entry that lapsed tells nothing new.
+        // The expiry of an entry brings no new information about its endpoint.
         let entered = merged.endpoints.iter().filter(|id| self.documents.is_listed(id));
         let entered = entered.filter_map(|id| self.documents.endpoint(id));
         let entered: Vec<Arc<Endpoint>> = entered.cloned().collect();
@@ -246,7 +256,8 @@
         }
     }
 
-    /// The publisher's store told of orders to evacuate data centres, or of all that stand.
+    /// Merges evacuation orders from the publisher's store: some changes, or all orders in force at
+    /// `snapshot_at`.
     pub(super) fn evacuations_published(
         &mut self,
         changes: &[Evacuation],
@@ -267,7 +278,7 @@
         }
     }
 
-    /// A peer told what it knows of orders to evacuate data centres.
+    /// Merges the evacuation orders that a peer knows.
     pub(super) fn evacuations_told(
         &mut self,
         from: SocketAddr,
@@ -282,21 +293,22 @@
         self.evacuations_merged(evacuations, &from.to_string(), now);
     }
 
-    /// Puts orders in force, from now on and for all that is not yet sent; says whether any changed.
+    /// Applies evacuation orders to everything that is not sent yet; returns whether any changed.
     fn evacuations_merged(&mut self, known: Evacuations, source: &str, now: Timestamp) -> bool {
         self.unconfirmed.changed(&self.evacuated, &self.evacuations, &known, now);
         self.evacuations = known;
         self.obey_orders(source, now)
     }
 
-    /// Orders of before an era that were not written again since are believed to be gone.
+    /// Lifts orders from before an era that were not written again in time: they count as
+    /// withdrawn.
     pub(super) fn confirm_orders(&mut self, now: Timestamp) {
         if self.unconfirmed.expire(now) {
             self.obey_orders("not confirmed", now);
         }
     }
 
-    /// Obeys the orders that stand and are confirmed; says whether that changed anything.
+    /// Applies the orders that are in force and confirmed; returns whether that changed anything.
     fn obey_orders(&mut self, source: &str, now: Timestamp) -> bool {
         let standing = self.unconfirmed.in_force(self.evacuations.standing());
         let before = std::mem::replace(&mut self.evacuated, standing.clone());
@@ -321,7 +333,7 @@
         true
     }
 
-    /// Asks peers for what they have seen and this gateway has not.
+    /// Pulls documents that peers have and this gateway lacks.
     pub(super) fn catch_up(&mut self, now: Timestamp) {
         let own = self.own();
         let due = self.pulls.due(own, &self.members, &mut self.rng, now);
--- a/src/direct/rate_limits.rs
+++ b/src/direct/rate_limits.rs
@@ -1,5 +1,5 @@
-//! The core's part for limits that endpoints name: what is known of them, permits that are asked for, and those that
-//! this gateway gives.
+//! Rate limits of endpoints: known limits, permits that this gateway requests, and permits that it
+//! issues.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,14 +18,14 @@
 use crate::direct::statement::RateLimit;
 use crate::message::Timestamp;
 
-/// A process that has just started knows too few others to give permits: a heartbeat reaches all of 100 gateways in
-/// four rounds of 200 ms.
+/// A process that has just started knows too few members to issue permits: a heartbeat reaches 100
+/// gateways in four rounds of 200 ms.
 const GATHERING: Duration = Duration::from_millis(1_500);
-/// A message goes out so long after its permit came at most: its connection may have to come up.
+/// How long a permit is valid; the connection for its message may have to be established first.
 const PERMIT_KEPT: Duration = Duration::from_millis(300);
 
 impl GatewayCore {
-    /// An answer told a limit, or none; says whether that is new.
+    /// Handles the rate limit in a response, or its absence; returns whether the limit changed.
     pub(super) fn limit_stated(
         &mut self,
         endpoint: &Endpoint,
@@ -43,7 +43,7 @@
         is_new
     }
 
-    /// Another gateway tells of limits.
+    /// Merges rate limits that a peer sent.
     pub(super) fn limits_told(&mut self, from: SocketAddr, told: &[LimitTold], now: Timestamp) {
         for account in told {
             if self.limits.is_superseded_by(account) {
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Everything that goes out to the endpoint needs a permit from now on, or will need none in a while.
+    /// Applies a changed limit: from now on messages to the endpoint need a permit, or will need
+    /// none after a while.
     fn limit_changed(&mut self, account: &LimitTold, source: &str, now: Timestamp) {
         let life = (account.endpoint.clone(), account.incarnation);
         let is_limited = self.limits.rate_of(&life, now).is_some();
@@ -77,13 +78,13 @@
         self.out.push(Action::RequirePermits { endpoint, incarnation, is_limited });
     }
 
-    /// Requests and owners go by the same limits.
+    /// Distributes the limits to requests and owners.
     fn share_limits(&mut self, now: Timestamp) {
         self.requests.set_limits(&self.limits);
         self.owners.set_limits(&self.limits, &self.table, now);
     }
 
-    /// Limits that go with the next heartbeat; those of long ago are forgotten.
+    /// Returns the limits to send with the next heartbeat, and removes expired ones.
     pub(super) fn news_of_limits(&mut self, now: Timestamp) -> Vec<LimitTold> {
         if !self.limits.is_due(now) {
             return Vec::new();
@@ -99,7 +100,7 @@
         news
     }
 
-    /// Endpoints need no permits any more.
+    /// Lifts the need for permits for endpoints without a limit.
     fn no_longer_limited(&mut self, lives: &[Life], now: Timestamp) {
         if lives.is_empty() {
             return;
@@ -111,7 +112,8 @@
         self.share_limits(now);
     }
 
-    /// Looks at what is due: permits to be given, limiters that are silent, endpoints that are free.
+    /// Handles what is due: permits to issue, limiters that did not respond, endpoints whose limit
+    /// ended.
     pub(super) fn look_at_permits(&mut self, now: Timestamp) {
         for asked in self.permits.take_overdue(now) {
             self.refused(asked, RETRY_SOON, "silent", now);
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Gives permits that are due, and looks at an endpoint whose limit changed.
+    /// Issues the permits that are due, also for an endpoint whose limit changed.
     fn serve_permits(&mut self, changed: Option<&Life>, now: Timestamp) {
         if self.limiter.is_empty() {
             return;
@@ -142,7 +144,7 @@
         wakeups.into_iter().flatten().chain(self.limits.next_freed()).min()
     }
 
-    /// A message to an endpoint with a limit is to go out.
+    /// Requests a permit for a message from the limiter of its endpoint.
     pub(super) fn ask_permit(&mut self, wanted: Wanted, now: Timestamp) {
         let builds = &self.builds;
         let gives = |member: &Member| builds.gives_permits(member.address);
@@ -159,7 +161,7 @@
         self.tell(limiter, message);
     }
 
-    /// A gateway asks for a permit, and tells what it knows of the endpoint's limit.
+    /// Handles a gateway's request for a permit, which includes the limit that it knows.
     pub(super) fn permit_asked(
         &mut self,
         asker: Asker,
@@ -180,8 +182,9 @@
         self.tell_decided(decided);
     }
 
-    /// How often this gateway gives permits for an endpoint; `None` where it does not. It gives out the parts of those
-    /// that it hears, and none while another gateway may give some.
+    /// Rate at which this gateway issues permits for an endpoint; `None` if it is not the
+    /// endpoint's limiter. It issues the share of the gateways from which it receives heartbeats,
+    /// and none while another gateway may still be issuing.
     fn pace(&self, life: &Life, now: Timestamp) -> Option<Pace> {
         let rate = self.limits.rate_of(life, now)?;
         let builds = &self.builds;
@@ -204,8 +207,8 @@
         }
     }
 
-    /// A limiter decided. What it gives is for now: one that waited to be read while this process stood still
-    /// is late, and void.
+    /// Handles a limiter's decision. A permit is valid from now on, so one that waited unread
+    /// while this process was suspended is late: its request has timed out, and it is ignored.
     pub(super) fn permit_decided(
         &mut self,
         from: SocketAddr,
@@ -279,7 +282,8 @@
         });
     }
 
-    /// A gateway is gone: what it was asked for is asked of another one, and nothing of it waits here.
+    /// Handles the failure of a gateway: permits requested from it are requested from another, and
+    /// its own pending requests are removed.
     pub(super) fn limiter_lost(&mut self, address: SocketAddr, now: Timestamp) {
         self.limiter.lost(address);
         for asked in self.permits.take_of(address) {
--- a/src/direct/readiness.rs
+++ b/src/direct/readiness.rs
@@ -1,5 +1,5 @@
-//! When a gateway is ready: it has a configuration and a whole list, and none of its peers has a newer one. Until then
-//! requests wait or are refused.
+//! Readiness: a gateway is ready once it has a configuration and a complete endpoint list, and no
+//! peer has a newer one. Until then requests wait or are refused.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 use crate::direct::peers::members::MemberState;
 use crate::message::Timestamp;
 
-/// The store may have come back from an older copy: a gateway that starts asks its peers before it calls itself ready, and
-/// waits so long for one to answer, ...
+/// How long a gateway that starts waits for a peer to respond before it becomes ready. The store
+/// may have been restored from an older copy, so peers may have newer documents.
 const MET_WITHIN: Duration = Duration::from_millis(150);
-/// ... and so long for a newer configuration that one has.
+/// How long a gateway that starts waits for a newer configuration that a peer has.
 const NEWEST_WITHIN: Duration = Duration::from_millis(1_500);
 impl GatewayCore {
-    /// When [`Self::update_state`] waits no longer for peers to answer, or for what they have.
+    /// When [`Self::update_state`] stops waiting for peers to respond, or for their documents.
     pub(super) fn next_completion(&self) -> impl Iterator<Item = Timestamp> {
         let since = self.documented_since.filter(|_| self.complete_since.is_none());
         since.into_iter().flat_map(|at| {
@@ -24,19 +24,20 @@
         })
     }
 
-    /// Whether requests are decided, by the newest configuration that is known of.
+    /// Whether requests can be decided with the newest known configuration.
     pub(super) const fn is_complete(&self) -> bool {
         self.complete_since.is_some()
     }
 
-    /// Whether a request can be decided: with a configuration, and with stages once the peers and the
-    /// endpoints were heard. A process that stops waits for nothing.
+    /// Whether a request can be decided: there is a configuration and, for a request with stages,
+    /// peers and endpoints had time to report. A process that stops waits for neither.
     pub(super) fn knows_enough(&self, incoming: &IncomingRequest, now: Timestamp) -> bool {
         let is_settled = |since: Timestamp| !incoming.has_pieces() || now >= since + self.settling;
         self.stop.is_some() || self.complete_since.is_some_and(is_settled)
     }
 
-    /// Requests that waited go on once enough is known, or their wait is over.
+    /// Submits the requests that were held back, once they can be decided or their wait has timed
+    /// out.
     pub(super) fn look_at_early(&mut self, now: Timestamp) {
         if self.early.is_empty() {
             return;
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Asks the endpoints of the cells that this gateway owns how they stand.
+    /// Requests load reports from the endpoints of the cells that this gateway owns.
     fn ask_reports(&mut self, now: Timestamp) {
         let cells: Vec<_> = self.table.cells().names().cloned().collect();
         let own = self.members.own().address;
--- a/src/direct/shell.rs
+++ b/src/direct/shell.rs
@@ -1,4 +1,4 @@
-//! Carries out what a gateway's core decides: calls, answers, messages, lines.
+//! Shell of the gateway core: carries out calls, responses, messages to peers and log output.
 
 use std::collections::{BTreeSet, HashMap};
 use std::pin::Pin;
@@ -29,28 +29,29 @@
 use crate::logging::Lines;
 use crate::message::Timestamp;
 
-/// Events of one stream that wait for a slow caller.
+/// Maximum number of stream events buffered for a slow caller.
 const WAITING_EVENTS: usize = 64;
 
-/// An event that waits or takes longer for the core makes it late.
+/// Queue delay or handling time of an event above which a late core is logged.
 const LATE: Duration = Duration::from_millis(200);
-/// What lines call the answers of endpoints.
+/// Name of endpoint responses in log events.
 const ENDPOINT_ANSWER: &str = "answer of an endpoint";
-/// That the core is late is told this often at most.
+/// Minimum interval between two log events about a late core.
 const LATE_TOLD: Duration = Duration::from_secs(1);
 
-/// A stream was broken off: its end must not look whole.
+/// The stream was aborted; the connection to the caller is closed without a regular end, so that
+/// the caller sees that the stream is incomplete.
 #[derive(Debug, Snafu)]
-#[snafu(display("the stream was broken off"))]
+#[snafu(display("the stream was aborted before its end"))]
 pub struct BrokenOff;
 
-/// What a caller gets.
+/// Response to a caller.
 pub enum Reply {
-    /// An endpoint's answer.
+    /// Complete response of an endpoint.
     Whole(AnswerHead, Bytes),
-    /// The head of an endpoint's stream, and its events.
+    /// Head of an endpoint's response, and its stream of events.
     Stream(AnswerHead, StreamBody),
-    /// A refusal.
+    /// Refusal by the gateway.
     Refused(Refusal),
 }
 
@@ -69,7 +70,7 @@
     callers.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Tells the core when a caller goes away before its answer is whole.
+/// Reports a caller that disconnects before its response is complete to the core.
 struct Guard {
     caller: u64,
     core: Option<Handle<GatewayCore>>,
@@ -84,7 +85,7 @@
     }
 }
 
-/// Takes callers' requests on behalf of a front end.
+/// Handle by which a front end submits callers' requests.
 #[derive(Clone)]
 pub struct Gateway {
     core: Handle<GatewayCore>,
@@ -93,24 +94,24 @@
     state: watch::Receiver<State>,
 }
 
-/// What front ends and followers of the store go by.
+/// State for front ends and readers of the store.
 #[derive(Debug, Clone, Default)]
 pub struct State {
-    /// Whether the process calls itself ready.
+    /// Whether the process is ready.
     pub ready: bool,
-    /// What callers may send.
+    /// Limits on requests of callers.
     pub limits: CallerLimits,
-    /// The newest known era of the publisher's store.
+    /// Newest known era of the publisher's store.
     pub store_era: u64,
 }
 
 impl Gateway {
-    /// The state that a front end goes by.
+    /// Current state of the gateway.
     pub fn state(&self) -> State {
         self.state.borrow().clone()
     }
 
-    /// Waits for an era of the publisher's store that is newer than one.
+    /// Waits for an era of the publisher's store that is newer than `era`.
     pub async fn store_era_after(&self, era: u64) {
         let mut state = self.state.clone();
         if state.wait_for(|state| state.store_era > era).await.is_err() {
@@ -118,12 +119,12 @@
         }
     }
 
-    /// Callers that wait for an answer or whose stream is open.
+    /// Number of callers that wait for a response or whose stream is open.
     pub fn callers(&self) -> usize {
         lock(&self.callers).len()
     }
 
-    /// Asks, and waits for the answer; dropping this ends the request.
+    /// Submits a request and waits for the response. Dropping the future cancels the request.
     pub async fn submit(&self, incoming: IncomingRequest, request: Forwarded) -> Option<Reply> {
         let caller = self.next.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = oneshot::channel();
@@ -149,7 +150,7 @@
     }
 }
 
-/// The events of a stream as a body.
+/// Body with the events of a stream.
 pub struct StreamBody {
     events: mpsc::Receiver<Bytes>,
     is_whole: Arc<AtomicBool>,
@@ -178,17 +179,17 @@
     }
 }
 
-/// One message to an endpoint: what is said over it goes to the core.
+/// One message to an endpoint and its response; reports both to the core.
 struct Conversation {
     core: Handle<GatewayCore>,
     endpoint: Arc<Endpoint>,
     asked: Asked,
     gates: Gates,
-    /// Until when it may go out to an endpoint with a limit.
+    /// When the permit expires, for an endpoint with a rate limit.
     permit: Option<Timestamp>,
-    /// When it went out.
+    /// When the message was sent.
     sent: Option<Timestamp>,
-    /// The caller and attempt of a call whose start the core waits for.
+    /// Caller and attempt of a call whose sending the core waits for.
     awaited: Option<(u64, u64)>,
 }
 
@@ -207,7 +208,7 @@
     }
 
     fn states(&mut self, statement: Statement) {
-        // Of an endpoint with a limit, an answer that names none tells something, too.
+        // For an endpoint with a known rate limit, a response without one is an update, too.
         if statement.is_empty() && !self.gates.is_limited(&self.endpoint) {
             return;
         }
@@ -223,7 +224,7 @@
     }
 }
 
-/// The shell of one gateway.
+/// Shell of one gateway.
 pub struct GatewayShell<C> {
     core: Handle<GatewayCore>,
     client: Arc<C>,
@@ -236,7 +237,7 @@
 }
 
 impl<C: EndpointClient> GatewayShell<C> {
-    /// A shell, and what front ends hold of it.
+    /// Creates a shell, and the handle for front ends.
     pub fn new(
         core: Handle<GatewayCore>,
         client: Arc<C>,
@@ -393,7 +394,7 @@
     }
 }
 
-/// Passes a stream's events on as they come, whole ones only.
+/// Forwards the events of a stream as they arrive, complete events only.
 async fn pump(
     caller: u64,
     attempt: u64,
@@ -456,7 +457,7 @@
             }
             Action::RequestReport(endpoint) => self.ask_report(endpoint),
             Action::Probe(endpoint) => self.probe(endpoint),
-            // The core takes these in before it hands its actions out.
+            // The core handles these itself before it returns its actions.
             Action::PoisonReport(_) | Action::RequestPermit(_) => {}
             Action::Send { to, message } => self.peers.tell(to, message),
             Action::Broadcast { to, message } => self.peers.spread(&to, message),
--- a/src/direct/stop.rs
+++ b/src/direct/stop.rs
@@ -1,31 +1,33 @@
-//! The end of a process that was told to stop: a bound for whatever it takes on, as a caller's
-//! deadline is.
+//! Planned stop of a process: it limits what the process still accepts, as a caller's deadline
+//! does.
 
 use std::time::Duration;
 
 use crate::direct::peers::members::{MemberState, Members};
 use crate::message::Timestamp;
 
-/// No process ends earlier after the signal: callers may still come, until the balancer has seen that
-/// it is not ready.
+/// Minimum time from the signal to the end of the process. Callers may still be sent here until the
+/// load balancer has seen that the process is not ready.
 pub const AT_LEAST: Duration = Duration::from_millis(3_400);
-/// A process ends so long before it would be killed.
+/// A process ends this long before it would be killed.
 pub const BEFORE_KILL: Duration = Duration::from_millis(300);
-/// After the signal, a gateway takes requests for so long where others serve.
+/// How long after the signal a gateway accepts requests if other gateways serve.
 const STILL_TAKING: Duration = Duration::from_millis(1_500);
-/// An answer is on its way to its caller for so long at most.
+/// Maximum time for a response to reach its caller.
 const ON_THE_WAY: Duration = Duration::from_millis(200);
-/// What is taken while a process is held up by what came before ends within that: its restart, which
-/// serves all, must not wait for it.
+/// Maximum expected duration of requests that are accepted after [`AT_LEAST`], while earlier
+/// requests keep the process running: its restart, which serves all callers, must not wait for
+/// them.
 const HELD_UP: Duration = Duration::from_millis(500);
-/// From the end of a process until it serves again.
+/// Time from the end of a process until it serves again.
 const RESTART: Duration = Duration::from_millis(1_200);
-/// A balancer asks every second: it sends nobody to a member that has served for less.
+/// Interval of the load balancer's checks: it sends no callers to a gateway that has served for
+/// less.
 const SEEN_READY: Duration = Duration::from_millis(1_000);
-/// When to come back where others serve.
+/// Retry delay for refused callers if other gateways serve.
 const ELSEWHERE: Duration = Duration::from_millis(100);
 
-/// When a process ends.
+/// Schedule of a planned stop.
 #[derive(Debug, Clone, Copy)]
 pub struct Stop {
     since: Timestamp,
@@ -33,7 +35,7 @@
 }
 
 impl Stop {
-    /// The signal came at `since`; the process is killed after `grace`.
+    /// Creates the schedule for a signal at `since`; the process is killed `grace` later.
     pub const fn new(since: Timestamp, grace: Duration) -> Self {
         Self { since, ends: since.saturating_add(latest(grace)) }
     }
@@ -48,28 +50,29 @@
         self.ends.saturating_sub(now)
     }
 
-    /// It ends now.
+    /// Moves the end of the process to now.
     pub fn end(&mut self, now: Timestamp) {
         self.ends = self.ends.min(now);
     }
 
-    /// Whether an answer that is whole at `at` gets to its caller before the process ends.
+    /// Whether a response that is complete at `at` reaches its caller before the process ends.
     pub fn is_before_end(&self, at: Timestamp) -> bool {
         at + ON_THE_WAY <= self.ends
     }
 
-    /// Whether a new request that is answered after `expected` is taken, as far as the end goes.
+    /// Whether the schedule allows a new request whose response takes `expected`.
     pub fn takes(&self, expected: Duration, now: Timestamp) -> bool {
         self.is_before_end(now + expected) && (now < self.may_end() || expected <= HELD_UP)
     }
 
-    /// Until when callers may come who know nothing better.
+    /// Until when callers may arrive that do not know of the stop.
     pub fn may_end(&self) -> Timestamp {
         self.since + AT_LEAST
     }
 
-    /// Whether new requests are looked at: for a while where others serve; where nobody does, until
-    /// the process may end, and beyond that while it is held up by what came before.
+    /// Whether new requests are considered. If other gateways serve, for a while after the signal.
+    /// If none does, until the earliest end of the process, and after that while earlier requests
+    /// keep it running.
     pub fn is_open(&self, others_serve: bool, is_held_up: bool, now: Timestamp) -> bool {
         if others_serve {
             return now < self.since + STILL_TAKING;
@@ -78,23 +81,23 @@
     }
 }
 
-/// The longest time from the signal to the process's own end.
+/// Maximum time from the signal to the process's own end.
 pub const fn latest(grace: Duration) -> Duration {
     grace.saturating_sub(BEFORE_KILL)
 }
 
-/// Whether callers who come back find a gateway that serves.
+/// Whether callers that try again reach a gateway that serves.
 pub fn others_serve(members: &Members, now: Timestamp) -> bool {
     let serving =
         |s: MemberState, since: Timestamp| s == MemberState::Serving && now >= since + SEEN_READY;
     members.others().any(|(member, since, is_alive)| is_alive && serving(member.state, since))
 }
 
-/// How long callers should wait who are refused because this process stops.
+/// How long callers should wait that are refused because this process stops.
 ///
-/// Where others serve, hardly at all. Where nobody does, until the first gateway is expected back:
-/// one that leaves ends when nothing is in flight, at the earliest [`AT_LEAST`] after its signal. An
-/// early return would meet another refusal, and callers return a few times only.
+/// Short if other gateways serve. If none does, until the first gateway is expected to serve again:
+/// a leaving one ends when nothing is in flight, but not before [`AT_LEAST`] after its signal.
+/// Earlier attempts would be refused again, and callers try only a few times.
 pub fn come_back_after(stop: &Stop, members: &Members, now: Timestamp) -> Duration {
     if others_serve(members, now) {
         return ELSEWHERE;
@@ -103,7 +106,7 @@
         MemberState::Serving if is_alive => Some(since + SEEN_READY),
         MemberState::Starting if is_alive => Some(now + SEEN_READY),
         MemberState::Leaving if is_alive => Some(now.max(since + AT_LEAST) + RESTART),
-        // One that is dead for longer does not come back soon, if ever.
+        // A gateway that has been down for longer is not expected to serve again soon, if ever.
         _ => Some(since + RESTART).filter(|back| now <= *back),
     });
     let own = now.max(stop.may_end()) + RESTART;
--- a/src/direct/store_restore.rs
+++ b/src/direct/store_restore.rs
@@ -1,7 +1,7 @@
-//! The core's part for a store that comes back from an older copy, in a new era.
+//! Restore of the publisher's store from an older copy, which begins a new era.
 //!
-//! An era is first reported by an answer of the store or by a peer; it is passed on at once, and followers of the store
-//! read everything again.
+//! A response of the store or a peer is the first to name a new era. It is passed on at once, and
+//! readers of the store read everything again.
 
 use std::net::SocketAddr;
 
@@ -13,11 +13,11 @@
 use crate::direct::published::position::Position;
 use crate::message::Timestamp;
 
-/// Endpoints that one line names at most.
+/// Maximum number of endpoints that one log event names.
 const MOST_NAMED: usize = 16;
 
 impl GatewayCore {
-    /// Takes in an era, from the store or from a peer.
+    /// Records an era that the store or a peer named.
     pub(super) fn observe_era(&mut self, era: u64, source: &str) {
         let Some(new) = self.eras.observe(era) else {
             return;
@@ -32,14 +32,14 @@
         }
     }
 
-    /// Takes in a peer's era; 0 from builds without eras.
+    /// Records a peer's era; builds without eras send 0.
     pub(super) fn observe_peer_era(&mut self, from: SocketAddr, era: u64) {
         if era > 0 {
             self.observe_era(era, &from.to_string());
         }
     }
 
-    /// Merges a whole list as it stood at a position, and logs what a new era lost and brought back.
+    /// Merges a complete list at a position, and logs what a new era removed and restored.
     pub(super) fn merge_whole(
         &mut self,
         documents: Vec<Revised>,
@@ -73,7 +73,8 @@
         }));
     }
 
-    /// Logs when the configuration in the store becomes older than the one in force, and when it no longer is.
+    /// Logs when the configuration in the store becomes older than the one in force, and when it no
+    /// longer is.
     pub(super) fn compare_published(&mut self, documents: &[Revised]) {
         let version = documents.iter().rev().find_map(|revised| match &revised.document {
             Document::Deployment(deployment) => Some(deployment.version),
--- a/src/direct/stream.rs
+++ b/src/direct/stream.rs
@@ -1,11 +1,11 @@
-//! Streams of events: cut into whole events, so that one that broke off is never passed on.
+//! Splits streams into complete events, so that an event that was cut off is never forwarded.
 
 use bytes::{Bytes, BytesMut};
 
-/// An event longer than this is no event.
+/// Maximum length of an event in bytes; a longer one aborts the stream.
 pub const MAX_EVENT_LEN: usize = 1 << 20;
 
-/// Collects bytes and gives out whole events.
+/// Buffers bytes and returns complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
@@ -13,7 +13,7 @@
 }
 
 impl EventSplitter {
-    /// Takes bytes in and gives out the events that are whole since, as they came.
+    /// Appends bytes and returns the events that are complete now, unchanged.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.buffer.extend_from_slice(bytes);
         let end = last_event_end(&self.buffer)?;
@@ -24,17 +24,17 @@
         Some(whole)
     }
 
-    /// The id of the last event that was given out.
+    /// Id of the last returned event.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Whether the stream may end here: no event is half there.
+    /// Whether no incomplete event is buffered, so that the stream may end here.
     pub fn is_at_boundary(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Whether what is collected is too long for an event.
+    /// Whether the buffered bytes are too long for an event.
     pub fn is_too_long(&self) -> bool {
         self.buffer.len() > MAX_EVENT_LEN
     }
