--- a/src/direct/peers/build.rs
+++ b/src/direct/peers/build.rs
@@ -38,7 +38,7 @@
 /// The first form whose builds exchange permits for endpoint limits.
 const PERMITS_SINCE: u32 = 5;
 /// Maximum number of tracked peers; bounds memory. 580 gateways are expected within two years.
-const MOST: usize = 1_024;
+const MAX_OTHER_BUILDS: usize = 1_024;
 
 /// The peers that run another build than this gateway, and the message forms that could not be
 /// read.
@@ -67,10 +67,12 @@
         if *build == Build::own() {
             return self.lost(address).map_or(Greeted::AsBefore, |(_, build)| Greeted::Own(build));
         }
-        if before.is_some_and(|(life, known)| *life == incarnation && known == build) {
+        if before.is_some_and(|(known_incarnation, known)| {
+            *known_incarnation == incarnation && known == build
+        }) {
             return Greeted::AsBefore;
         }
-        if self.others.len() >= MOST && before.is_none() {
+        if self.others.len() >= MAX_OTHER_BUILDS && before.is_none() {
             return Greeted::AsBefore;
         }
         self.others.insert(address, (incarnation, build.clone()));
@@ -86,7 +88,7 @@
 
     /// Records an unreadable message form of a peer; returns whether it is to be logged.
     pub fn unread(&mut self, address: SocketAddr, form: u32) -> bool {
-        self.unread.len() < MOST && self.unread.insert((address, form))
+        self.unread.len() < MAX_OTHER_BUILDS && self.unread.insert((address, form))
     }
 
     /// Whether a peer exchanges permits, which builds before [`PERMITS_SINCE`] don't. A peer that
--- a/src/direct/peers/codec.rs
+++ b/src/direct/peers/codec.rs
@@ -15,12 +15,12 @@
 use crate::direct::peers::without_eras;
 
 /// First bytes of JSON messages: an object or a string.
-const JSON_STARTS: [u8; 2] = [b'{', b'"'];
+const JSON_FIRST_BYTES: [u8; 2] = [b'{', b'"'];
 /// First byte of a frame that names its form; the form follows as one byte. Builds without such
 /// frames read it as an unknown kind of message, and ignore the frame.
-const MARK: u8 = 0xc1;
-/// The first form whose frames start with [`MARK`].
-const FIRST_MARKED: u32 = 4;
+const FORM_MARKER: u8 = 0xc1;
+/// The first form whose frames start with [`FORM_MARKER`].
+const FIRST_MARKED_FORM: u32 = 4;
 
 /// The compact form that this build writes. It increases by one whenever the fields of a message,
 /// or of a type that a message contains, change; the recorded frames of each form (`tests/frames`)
@@ -62,7 +62,7 @@
 fn compact(message: &PeerMessage) -> Bytes {
     let written = postcard::to_allocvec(message).unwrap_or_default();
     let mut frame = BytesMut::with_capacity(written.len() + 2);
-    frame.put_slice(&[MARK, FORM as u8]);
+    frame.put_slice(&[FORM_MARKER, FORM as u8]);
     frame.put_slice(&written);
     frame.freeze()
 }
@@ -90,15 +90,15 @@
     id: JobId,
 }
 
-/// Decodes a frame of a peer whose greeting on this connection named the form `greeted`.
-pub fn read(frame: &[u8], greeted: u32) -> Result<PeerMessage, Unread> {
+/// Decodes a frame of a peer whose greeting on this connection named the form `greeted_form`.
+pub fn read(frame: &[u8], greeted_form: u32) -> Result<PeerMessage, Unread> {
     let message = match frame {
-        [first, ..] if JSON_STARTS.contains(first) => {
+        [first, ..] if JSON_FIRST_BYTES.contains(first) => {
             serde_json::from_slice(frame).map_err(|_| unread_json(frame))?
         }
-        [MARK, form, rest @ ..] => read_compact(u32::from(*form), rest)?,
-        // Builds before [`FIRST_MARKED`] wrote the form that they read.
-        frame if greeted < FIRST_MARKED => read_compact(greeted, frame)?,
+        [FORM_MARKER, form, rest @ ..] => read_compact(u32::from(*form), rest)?,
+        // Builds before `FIRST_MARKED_FORM` wrote the form that they read.
+        frame if greeted_form < FIRST_MARKED_FORM => read_compact(greeted_form, frame)?,
         _ => return Err(Unread::Message { job: None }),
     };
     crate::metrics::peer_bytes("in", message.kind(), frame.len());
--- a/src/direct/peers/links.rs
+++ b/src/direct/peers/links.rs
@@ -24,7 +24,7 @@
 use crate::direct::core::GatewayCore;
 use crate::direct::event::Event;
 use crate::direct::peers::build::Build;
-use crate::direct::peers::bulk::{Bulk, Receives};
+use crate::direct::peers::bulk::{BulkReceiver, BulkSender};
 use crate::direct::peers::codec::{FORM, Outgoing, Unread, json, read};
 use crate::direct::peers::message::PeerMessage;
 use crate::direct::published::position::Position;
@@ -32,13 +32,13 @@
 /// Time limit for establishing a connection.
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time after which a connection with unacknowledged data is closed (`TCP_USER_TIMEOUT`).
-const SILENT_TIMEOUT: Duration = Duration::from_millis(1_500);
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time without a message after which a connection is considered silent. With 580 gateways, each of
 /// which sends a heartbeat to eight random ones every 200 ms, a connection carries one every 14 s
 /// on average.
-const IDLE: Duration = Duration::from_secs(120);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 /// Capacity of the queue for one peer; messages beyond it are dropped.
-const QUEUE: usize = 1_024;
+const QUEUE_CAPACITY: usize = 1_024;
 /// Size limit of a message in bytes; the largest is a complete configuration or list.
 pub(super) const MAX_FRAME: usize = 16 << 20;
 
@@ -112,14 +112,14 @@
     hello: Hello,
     core: Handle<GatewayCore>,
     queues: Queues,
-    bulk: Bulk,
+    bulk: BulkSender,
 }
 
 impl Peers {
     /// Creates the set of connections, which is empty at first.
     pub fn new(own: SocketAddr, incarnation: u64, core: Handle<GatewayCore>) -> Self {
         let hello = Hello::new(own, incarnation);
-        let bulk = Bulk::new(Hello { answers: false, ..hello.clone() });
+        let bulk = BulkSender::new(Hello { answers: false, ..hello.clone() });
         Self { hello, core, queues: Queues::default(), bulk }
     }
 
@@ -132,8 +132,8 @@
     pub fn tell(&self, to: SocketAddr, message: PeerMessage) {
         match message {
             PeerMessage::Configuration { revision, ref deployment, pull, era } => {
-                let which = (Position::new(era, revision), deployment.version);
-                if !self.bulk.send(to, pull, which, &message) {
+                let key = (Position::new(era, revision), deployment.version);
+                if !self.bulk.send(to, pull, key, &message) {
                     self.spread(&[to], PeerMessage::NoConfiguration);
                 }
             }
@@ -166,13 +166,13 @@
     }
 
     fn connect(&self, to: SocketAddr) -> Link {
-        let (queue, receiver) = mpsc::channel(QUEUE);
+        let (queue, receiver) = mpsc::channel(QUEUE_CAPACITY);
         let hello = self.hello.clone();
         let (core, queues, own_queue) = (self.core.clone(), self.queues.clone(), queue.clone());
         let task = tokio::spawn(async move {
-            let was_connected = run(to, &hello, receiver, &core).await;
-            forget(&queues, to, &own_queue);
-            let event = if was_connected {
+            let was_established = run_link(to, &hello, receiver, &core).await;
+            remove_link(&queues, to, &own_queue);
+            let event = if was_established {
                 Event::PeerOutboundFailed { address: to }
             } else {
                 Event::PeerUnreachable { address: to }
@@ -183,7 +183,7 @@
     }
 }
 
-fn forget(queues: &Queues, to: SocketAddr, queue: &mpsc::Sender<Arc<Outgoing>>) {
+fn remove_link(queues: &Queues, to: SocketAddr, queue: &mpsc::Sender<Arc<Outgoing>>) {
     let mut queues = queues.lock().unwrap_or_else(PoisonError::into_inner);
     if queues.get(&to).is_some_and(|link| link.queue.same_channel(queue)) {
         queues.remove(&to);
@@ -194,12 +194,12 @@
 
 pub(super) fn framed(stream: TcpStream) -> Connection {
     stream.set_nodelay(true).ok();
-    SockRef::from(&stream).set_tcp_user_timeout(Some(SILENT_TIMEOUT)).ok();
+    SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT)).ok();
     LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME).new_framed(stream)
 }
 
 /// Sends queued messages until the connection fails; returns whether it was established.
-async fn run(
+async fn run_link(
     to: SocketAddr,
     hello: &Hello,
     queue: mpsc::Receiver<Arc<Outgoing>>,
@@ -253,13 +253,13 @@
 
 /// Accepts connections of other gateways and responds with the greeting.
 pub async fn accept(listener: TcpListener, core: Handle<GatewayCore>, greeting: Hello) {
-    let receives = Receives::default();
+    let bulk_receiver = BulkReceiver::default();
     let greeting = json(&greeting);
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let (receives, core) = (receives.clone(), core.clone());
-                tokio::spawn(receive(stream, receives, core, greeting.clone()));
+                let (bulk_receiver, core) = (bulk_receiver.clone(), core.clone());
+                tokio::spawn(receive(stream, bulk_receiver, core, greeting.clone()));
             }
             Err(_) => tokio::time::sleep(CONNECT_TIMEOUT).await,
         }
@@ -268,7 +268,7 @@
 
 async fn receive(
     stream: TcpStream,
-    receives: Receives,
+    bulk_receiver: BulkReceiver,
     core: Handle<GatewayCore>,
     greeting: Bytes,
 ) {
@@ -280,7 +280,7 @@
         return;
     };
     if hello.bulk {
-        receives.start(connection, hello, core);
+        bulk_receiver.start(connection, hello, core);
         return;
     }
     core.send(hello.greeted()).await.ok();
@@ -301,7 +301,7 @@
     core: &Handle<GatewayCore>,
 ) -> Result<(), Stopped> {
     let from = hello.address;
-    while let Ok(Some(Ok(frame))) = timeout(IDLE, connection.next()).await {
+    while let Ok(Some(Ok(frame))) = timeout(IDLE_TIMEOUT, connection.next()).await {
         match read(&frame, hello.form) {
             Ok(message) => core.send(Event::PeerMessage { from, message }).await?,
             Err(unread) => {
--- a/src/direct/peers/members.rs
+++ b/src/direct/peers/members.rs
@@ -20,20 +20,20 @@
 /// Time between two heartbeats of a process.
 pub const HEARTBEAT: Duration = Duration::from_millis(200);
 /// Time without a new heartbeat after which a member is considered down.
-const SILENT: Duration = Duration::from_millis(1_000);
+const FAILURE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Time without a new heartbeat after which a member whose connection failed is considered down.
-const SUSPECTED: Duration = Duration::from_millis(600);
+const SUSPICION_TIMEOUT: Duration = Duration::from_millis(600);
 /// Time after which a member that is down is forgotten.
-const FORGOTTEN: Duration = Duration::from_secs(60);
+const FORGET_AFTER: Duration = Duration::from_secs(60);
 /// Time for which a forgotten member that didn't announce its shutdown is still counted as
 /// existing, since it may be running on the other side of a network partition. Partitions between
 /// data centres last for minutes.
-const APART: Duration = Duration::from_secs(900);
+const PARTITION_RETENTION: Duration = Duration::from_secs(900);
 /// Maximum number of forgotten members that are counted; bounds memory.
-const MOST_APART: usize = 1_024;
+const MAX_PARTITIONED: usize = 1_024;
 /// Delay before a gateway takes over a duty from a member that is down, or from one that is newly
 /// up. Others may consider that member up until they, too, have missed its heartbeats for
-/// [`SILENT`] and have received this from their peers.
+/// [`FAILURE_TIMEOUT`] and have received this from their peers.
 pub const SETTLED: Duration = Duration::from_millis(1_000);
 /// Number of members that receive each heartbeat.
 const FANOUT: usize = 8;
@@ -73,7 +73,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Known {
+struct KnownMember {
     member: Member,
     /// Time at which its heartbeat last increased; `None` while the member is considered down.
     heard: Option<Timestamp>,
@@ -93,27 +93,27 @@
     pub ended: Vec<Member>,
 }
 
-impl Known {
+impl KnownMember {
     /// Incarnations are derived from clocks, which may have stepped back between two of them, so
     /// any other incarnation supersedes one that is considered down.
-    const fn is_superseded_by(&self, told: &Member) -> bool {
-        if self.member.incarnation == told.incarnation {
-            return self.member.heartbeat < told.heartbeat;
+    const fn is_superseded_by(&self, received: &Member) -> bool {
+        if self.member.incarnation == received.incarnation {
+            return self.member.heartbeat < received.heartbeat;
         }
-        self.heard.is_none() || self.member.incarnation < told.incarnation
+        self.heard.is_none() || self.member.incarnation < received.incarnation
     }
 }
 
 /// The bytes of an address that are hashed.
-fn octets(address: SocketAddr) -> [u8; 18] {
+fn address_bytes(address: SocketAddr) -> [u8; 18] {
     let ip = match address.ip() {
         IpAddr::V4(ip) => ip.to_ipv6_mapped(),
         IpAddr::V6(ip) => ip,
     };
-    let mut octets = [0; 18];
-    octets[..16].copy_from_slice(&ip.octets());
-    octets[16..].copy_from_slice(&address.port().to_be_bytes());
-    octets
+    let mut bytes = [0; 18];
+    bytes[..16].copy_from_slice(&ip.octets());
+    bytes[16..].copy_from_slice(&address.port().to_be_bytes());
+    bytes
 }
 
 /// Whether a member serves, the capacity class of its host, and its hash weight.
@@ -121,40 +121,41 @@
 
 /// Selects a first owner for each cell, distinct ones as far as enough members serve on hosts of
 /// the best class.
-fn firsts<'a>(ranked: &[(&Name, Vec<(Rank, &'a Member)>)]) -> BTreeMap<Name, &'a Member> {
-    let mut claims: Vec<(Rank, &Name, &Member)> = Vec::new();
+fn first_owners<'a>(ranked: &[(&Name, Vec<(Rank, &'a Member)>)]) -> BTreeMap<Name, &'a Member> {
+    let mut candidates: Vec<(Rank, &Name, &Member)> = Vec::new();
     for (cell, ranked) in ranked {
-        let best = ranked.first().map(|((serves, class, _), _)| (*serves, *class));
-        let equals =
-            ranked.iter().take_while(|((serves, class, _), _)| Some((*serves, *class)) == best);
-        claims.extend(equals.map(|(rank, member)| (*rank, *cell, *member)));
+        let best_class = ranked.first().map(|((serves, class, _), _)| (*serves, *class));
+        let in_best_class = ranked
+            .iter()
+            .take_while(|((serves, class, _), _)| Some((*serves, *class)) == best_class);
+        candidates.extend(in_best_class.map(|(rank, member)| (*rank, *cell, *member)));
     }
-    claims.sort_unstable_by_key(|(rank, cell, _)| (Reverse(*rank), *cell));
-    let mut firsts: BTreeMap<Name, &Member> = BTreeMap::new();
-    let mut taken = BTreeSet::new();
-    for (_, cell, member) in claims {
-        if !firsts.contains_key(cell) && taken.insert(member.address) {
-            firsts.insert(cell.clone(), member);
+    candidates.sort_unstable_by_key(|(rank, cell, _)| (Reverse(*rank), *cell));
+    let mut first_owners: BTreeMap<Name, &Member> = BTreeMap::new();
+    let mut assigned = BTreeSet::new();
+    for (_, cell, member) in candidates {
+        if !first_owners.contains_key(cell) && assigned.insert(member.address) {
+            first_owners.insert(cell.clone(), member);
         }
     }
-    firsts
+    first_owners
 }
 
 /// The members that one gateway knows.
 #[derive(Debug)]
 pub struct Members {
     own: Member,
-    others: BTreeMap<SocketAddr, Known>,
+    others: BTreeMap<SocketAddr, KnownMember>,
     /// Members whose connection failed and whose heartbeat has not increased since, with the time
     /// of the failure.
     suspected: BTreeMap<SocketAddr, Timestamp>,
     seeds: Vec<SocketAddr>,
     /// Earliest time at which a member times out or is forgotten.
-    silent_from: Timestamp,
+    next_timeout: Timestamp,
     /// Number of changes to membership, states or capacities.
     changes: u64,
     /// Forgotten members that may still be running, with the time at which they were forgotten.
-    apart: BTreeMap<SocketAddr, Timestamp>,
+    partitioned: BTreeMap<SocketAddr, Timestamp>,
 }
 
 impl Members {
@@ -172,9 +173,9 @@
             others: BTreeMap::new(),
             suspected: BTreeMap::new(),
             seeds,
-            silent_from: Timestamp::ZERO,
+            next_timeout: Timestamp::ZERO,
             changes: 0,
-            apart: BTreeMap::new(),
+            partitioned: BTreeMap::new(),
         }
     }
 
@@ -207,15 +208,15 @@
         self.own.heartbeat += 1;
         let alive: Vec<SocketAddr> = self.alive().map(|m| m.address).collect();
         let seeds = self.seeds.iter().copied().filter(|s| *s != self.own.address);
-        let mut unheard: Vec<SocketAddr> = seeds.chain(self.dead()).collect();
-        unheard.retain(|a| !alive.contains(a));
+        let mut unreachable: Vec<SocketAddr> = seeds.chain(self.down()).collect();
+        unreachable.retain(|a| !alive.contains(a));
         // While no other member is up, several seeds are contacted; the first response introduces
         // the others.
         if alive.is_empty() {
-            return unheard.sample(rng, FANOUT).copied().collect();
+            return unreachable.sample(rng, FANOUT).copied().collect();
         }
         let mut to: Vec<SocketAddr> = alive.sample(rng, FANOUT).copied().collect();
-        to.extend(unheard.choose(rng));
+        to.extend(unreachable.choose(rng));
         to
     }
 
@@ -242,12 +243,12 @@
                 let before = known.filter(|k| k.heard.is_some()).map(|k| k.member.clone());
                 heard.ended.extend(before);
             }
-            let is_same = |k: &&Known| {
+            let is_same = |k: &&KnownMember| {
                 k.member.incarnation == member.incarnation && k.member.state == member.state
             };
             let state_since = known.filter(is_same).map_or(now, |k| k.state_since);
             let alive_since = known.filter(|_| was_alive).map_or(now, |k| k.alive_since);
-            self.apart.remove(&member.address);
+            self.partitioned.remove(&member.address);
             let is_as_before = was_alive
                 && known.is_some_and(|k| {
                     k.member.state == member.state && k.member.capacity == member.capacity
@@ -255,7 +256,8 @@
             self.changes += u64::from(!is_as_before);
             self.suspected.remove(&member.address);
             let member = member.clone();
-            let known = Known { member, heard: Some(now), since: now, state_since, alive_since };
+            let known =
+                KnownMember { member, heard: Some(now), since: now, state_since, alive_since };
             self.others.insert(known.member.address, known);
         }
         heard
@@ -273,7 +275,7 @@
 
     /// Time at which [`Self::expire`] is due for a suspected member.
     pub fn next_suspicion(&self) -> Option<Timestamp> {
-        self.suspected.values().min().map(|at| *at + SUSPECTED)
+        self.suspected.values().min().map(|at| *at + SUSPICION_TIMEOUT)
     }
 
     /// Marks an incarnation of a member as down, since it is unreachable, until it is heard from
@@ -293,43 +295,48 @@
     }
 
     /// Marks members whose heartbeats have timed out as down and returns them. All members are
-    /// scanned only when one may have timed out, about once in [`SILENT`], however often this is
-    /// called.
+    /// scanned only when one may have timed out, about once in [`FAILURE_TIMEOUT`], however often
+    /// this is called.
     pub fn expire(&mut self, now: Timestamp) -> Vec<Member> {
         let is_suspicion_over = self.next_suspicion().is_some_and(|at| now >= at);
-        if now < self.silent_from && !is_suspicion_over {
+        if now < self.next_timeout && !is_suspicion_over {
             return Vec::new();
         }
-        let mut lost = Vec::new();
+        let mut failed = Vec::new();
         for known in self.others.values_mut() {
             let suspected = self.suspected.get(&known.member.address);
-            let is_silent = known.heard.is_some_and(|h| now >= h + SILENT);
-            let is_suspected = suspected.is_some_and(|s| now >= *s + SUSPECTED);
-            if known.heard.is_some() && (is_silent || is_suspected) {
+            let is_timed_out = known.heard.is_some_and(|h| now >= h + FAILURE_TIMEOUT);
+            let is_suspected = suspected.is_some_and(|s| now >= *s + SUSPICION_TIMEOUT);
+            if known.heard.is_some() && (is_timed_out || is_suspected) {
                 known.heard = None;
                 known.since = now;
-                lost.push(known.member.clone());
+                failed.push(known.member.clone());
             }
         }
-        for member in &lost {
+        for member in &failed {
             self.suspected.remove(&member.address);
         }
-        self.changes += lost.len() as u64;
+        self.changes += failed.len() as u64;
         self.forget(now);
-        let next =
-            self.others.values().map(|k| k.heard.map_or(k.since + FORGOTTEN, |h| h + SILENT));
+        let next = self
+            .others
+            .values()
+            .map(|k| k.heard.map_or(k.since + FORGET_AFTER, |h| h + FAILURE_TIMEOUT));
         // A member that is first heard from after this scan times out later than that.
-        self.silent_from = next.chain([now + SILENT]).min().unwrap_or_default();
-        lost
+        self.next_timeout = next.chain([now + FAILURE_TIMEOUT]).min().unwrap_or_default();
+        failed
     }
 
     /// Forgets members that have been down for a long time.
     fn forget(&mut self, now: Timestamp) {
-        self.apart.retain(|_, forgotten| now < *forgotten + APART);
-        let is_over = |known: &Known| known.heard.is_none() && now >= known.since + FORGOTTEN;
-        for (address, known) in self.others.extract_if(.., |_, known| is_over(known)) {
-            if known.member.state != MemberState::Leaving && self.apart.len() < MOST_APART {
-                self.apart.insert(address, now);
+        self.partitioned.retain(|_, forgotten| now < *forgotten + PARTITION_RETENTION);
+        let is_forgettable =
+            |known: &KnownMember| known.heard.is_none() && now >= known.since + FORGET_AFTER;
+        for (address, known) in self.others.extract_if(.., |_, known| is_forgettable(known)) {
+            if known.member.state != MemberState::Leaving
+                && self.partitioned.len() < MAX_PARTITIONED
+            {
+                self.partitioned.insert(address, now);
             }
         }
     }
@@ -351,7 +358,7 @@
         self.others.values().filter(|k| k.heard.is_some()).map(|k| &k.member)
     }
 
-    fn dead(&self) -> impl Iterator<Item = SocketAddr> + '_ {
+    fn down(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.others.iter().filter(|(_, k)| k.heard.is_none()).map(|(a, _)| *a)
     }
 
@@ -380,7 +387,7 @@
         1 + self.others.len().max(self.seeds.len().saturating_sub(1))
     }
 
-    /// Returns the `able` member that decides on `what` for all, and the time from which no other
+    /// Returns the `able` member that decides on `key` for all, and the time from which no other
     /// does: until then other gateways may still consider a failed or leaving member responsible.
     /// Serving members precede leaving ones; among equals the highest hash weight wins (rendezvous
     /// hashing).
@@ -388,25 +395,27 @@
     /// Takes time linear in the number of members.
     pub fn limiter(
         &self,
-        what: &str,
+        key: &str,
         able: impl Fn(&Member) -> bool,
     ) -> Option<(SocketAddr, Timestamp)> {
-        let seed = xxh3_64(what.as_bytes());
-        let weight = |m: &Member| xxh3_64_with_seed(&octets(m.address), seed);
+        let seed = xxh3_64(key.as_bytes());
+        let weight = |m: &Member| xxh3_64_with_seed(&address_bytes(m.address), seed);
         let rank = |m: &Member| (m.state == MemberState::Serving, weight(m));
         let alive = self.alive().filter(|m| able(m)).chain([&self.own]);
         let first = alive.filter(|m| m.state != MemberState::Starting).max_by_key(|m| rank(m))?;
-        let beaten = rank(first);
-        let was_first = |known: &&Known| (true, weight(&known.member)) > beaten;
-        let gone = self.others.values().filter(|known| known.member.address != first.address);
-        let gone = gone.filter(was_first).filter_map(|known| match known.heard {
-            None => Some(known.since + SETTLED),
-            Some(_) if known.member.state == MemberState::Leaving => {
-                Some(known.state_since + SETTLED)
-            }
-            Some(_) => None,
-        });
-        Some((first.address, gone.max().unwrap_or(Timestamp::ZERO)))
+        let first_rank = rank(first);
+        let ranks_higher = |known: &&KnownMember| (true, weight(&known.member)) > first_rank;
+        let predecessors =
+            self.others.values().filter(|known| known.member.address != first.address);
+        let predecessors =
+            predecessors.filter(ranks_higher).filter_map(|known| match known.heard {
+                None => Some(known.since + SETTLED),
+                Some(_) if known.member.state == MemberState::Leaving => {
+                    Some(known.state_since + SETTLED)
+                }
+                Some(_) => None,
+            });
+        Some((first.address, predecessors.max().unwrap_or(Timestamp::ZERO)))
     }
 
     /// Returns the fraction of all gateways that may exist which is `able` and has been up for
@@ -416,19 +425,19 @@
         let heard = self.others.values().filter(|known| {
             known.heard.is_some() && now >= known.alive_since + SETTLED && able(&known.member)
         });
-        (1 + heard.count()) as f64 / (self.known() + self.apart.len()) as f64
+        (1 + heard.count()) as f64 / (self.known() + self.partitioned.len()) as f64
     }
 
-    /// Returns the owner of `what`, ignoring the members in `skip`; see [`Self::owners`].
-    pub fn owner(&self, what: &str, skip: &[SocketAddr]) -> Option<Member> {
-        let ranked = self.ranked(what).into_iter();
+    /// Returns the owner of `key`, ignoring the members in `skip`; see [`Self::owners`].
+    pub fn owner(&self, key: &str, skip: &[SocketAddr]) -> Option<Member> {
+        let ranked = self.ranked(key).into_iter();
         ranked.map(|(_, m)| m).find(|m| !skip.contains(&m.address)).cloned()
     }
 
-    /// Ranks the candidate owners of `what`, the best first: serving members before leaving ones,
+    /// Ranks the candidate owners of `key`, the best first: serving members before leaving ones,
     /// then by capacity class, then by hash weight.
-    fn ranked(&self, what: &str) -> Vec<(Rank, &Member)> {
-        let seed = xxh3_64(what.as_bytes());
+    fn ranked(&self, key: &str) -> Vec<(Rank, &Member)> {
+        let seed = xxh3_64(key.as_bytes());
         let weight = |m: &Member| xxh3_64_with_seed(m.address.to_string().as_bytes(), seed);
         let rank = |m: &Member| (m.state == MemberState::Serving, m.capacity_class(), weight(m));
         let members = self.alive().chain([&self.own]);
@@ -446,9 +455,9 @@
     /// Takes time proportional to the number of members, for each cell.
     pub fn owners(&self, cells: &[Name], count: usize) -> BTreeMap<Name, Vec<Member>> {
         let ranked: Vec<_> = cells.iter().map(|cell| (cell, self.ranked(cell))).collect();
-        let firsts = firsts(&ranked);
+        let first_owners = first_owners(&ranked);
         let owners = ranked.into_iter().map(|(cell, ranked)| {
-            let first = firsts.get(cell).copied();
+            let first = first_owners.get(cell).copied();
             let ranked = ranked.into_iter().map(|(_, member)| member);
             let others = ranked.filter(|m| Some(m.address) != first.map(|f| f.address));
             (cell.clone(), first.into_iter().chain(others).take(count).cloned().collect())
--- a/src/direct/peers/pulls.rs
+++ b/src/direct/peers/pulls.rs
@@ -20,43 +20,44 @@
 
 /// Time that a gateway waits for its own publisher after a peer announces newer documents, before
 /// it requests them.
-const BEHIND: Duration = Duration::from_millis(100);
-/// As [`BEHIND`], if the peer's entries are from a newer era. All gateways read everything again at
-/// random times when an era begins; only one that has not succeeded by then requests the entries.
-const EARLIER_ERA: Duration = Duration::from_millis(1_200);
+const OWN_READ_GRACE: Duration = Duration::from_millis(100);
+/// As [`OWN_READ_GRACE`], if the peer's entries are from a newer era. All gateways read everything
+/// again at random times when an era begins; only one that has not succeeded by then requests the
+/// entries.
+const OWN_REREAD_GRACE: Duration = Duration::from_millis(1_200);
 // A configuration must arrive within 2 s of its first announcement. The worst case is 1,800 ms:
-// `LONGEST_WAIT`, which bounds the wait for the own read and `BETWEEN` together (1,000 ms),
-// `FIRST_CHUNK` of a silent peer (400 ms), and the transfer from another peer, half a megabyte at
-// 10 Mbit/s (400 ms). The pause of a store follower after a long response (500 ms) runs in
-// parallel.
+// `MAX_WAIT`, which bounds the wait for the own read and `MIN_INTERVAL` together (1,000 ms),
+// `FIRST_CHUNK_TIMEOUT` of a silent peer (400 ms), and the transfer from another peer, half a
+// megabyte at 10 Mbit/s (400 ms). The pause of a store follower after a long response (500 ms) runs
+// in parallel.
 /// Upper bound for all waits together: a peer is asked at most this long after the first
 /// announcement of a configuration that is still missing.
-const LONGEST_WAIT: Duration = Duration::from_millis(1_000);
+const MAX_WAIT: Duration = Duration::from_millis(1_000);
 /// Time within which a peer must start to send a requested configuration.
-const FIRST_CHUNK: Duration = Duration::from_millis(400);
+const FIRST_CHUNK_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time within which a peer must send the next part; a connection that loses packets pauses.
-const SILENT: Duration = Duration::from_secs(1);
+const CHUNK_TIMEOUT: Duration = Duration::from_secs(1);
 /// Age from which a response is slow, ...
-const SLOW: Duration = Duration::from_secs(1);
+const SLOW_AFTER: Duration = Duration::from_secs(1);
 /// ... so that a second peer is asked, unless the response is expected to end within this time at
 /// its average rate.
-const ENDS_SOON: Duration = Duration::from_millis(500);
+const MAX_REMAINING: Duration = Duration::from_millis(500);
 /// Maximum number of concurrent requests for a configuration.
-const AT_ONCE: usize = 2;
+const MAX_IN_FLIGHT: usize = 2;
 /// Time limit for a complete response, even if it makes progress.
-const LONGEST: Duration = Duration::from_secs(10);
+const PULL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time for which a peer that was silent or refused is not asked again.
-const PASSED_OVER: Duration = Duration::from_secs(1);
+const PEER_BACKOFF: Duration = Duration::from_secs(1);
 /// Time since its last progress for which the own read of a configuration is assumed to be running;
 /// a lost packet is retransmitted within this time.
-const READING: Duration = Duration::from_millis(500);
+const READ_PROGRESS_TIMEOUT: Duration = Duration::from_millis(500);
 /// Minimum time between a configuration's coming into force and the next request. If versions are
 /// published faster than a link transfers them, this leaves some bandwidth for requests.
-const BETWEEN: Duration = Duration::from_millis(700);
+const MIN_INTERVAL: Duration = Duration::from_millis(700);
 /// Maximum number of versions whose first announcement is recorded.
-const TELLINGS: usize = 32;
+const MAX_ANNOUNCED_VERSIONS: usize = 32;
 /// Time after a request for the list before it is requested again.
-const LIST_ANSWER: Duration = Duration::from_millis(500);
+const LIST_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// The first announcement of a configuration version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -95,24 +96,24 @@
     }
 
     /// Whether this is the pull with the given number; 0 matches any.
-    fn is(&self, peer: SocketAddr, pull: u64) -> bool {
+    fn matches(&self, peer: SocketAddr, pull: u64) -> bool {
         self.peer == peer && (pull == 0 || pull == self.number)
     }
 
-    fn over_at(&self) -> Timestamp {
-        let patience = if self.bytes == 0 { FIRST_CHUNK } else { SILENT };
-        (self.progressed + patience).min(self.since + LONGEST)
+    fn times_out_at(&self) -> Timestamp {
+        let wait_limit = if self.bytes == 0 { FIRST_CHUNK_TIMEOUT } else { CHUNK_TIMEOUT };
+        (self.progressed + wait_limit).min(self.since + PULL_TIMEOUT)
     }
 
     /// Time at which a second peer may be asked. At the average rate, a response of age `a` with
-    /// `b` bytes received takes `a * left / b` longer, so the rest takes more than `ENDS_SOON` from
-    /// the age `ENDS_SOON * b / left` on.
-    fn doubled_at(&self) -> Timestamp {
+    /// `b` bytes received takes `a * left / b` longer, so the rest takes more than `MAX_REMAINING`
+    /// from the age `MAX_REMAINING * b / left` on.
+    fn second_pull_at(&self) -> Timestamp {
         let left = self.expected.map(|e| e.saturating_sub(self.bytes));
         let age = match left {
             Some(0) => return Timestamp::MAX,
-            Some(left) => SLOW.max(ENDS_SOON.mul_f64(self.bytes as f64 / left as f64)),
-            None => SLOW,
+            Some(left) => SLOW_AFTER.max(MAX_REMAINING.mul_f64(self.bytes as f64 / left as f64)),
+            None => SLOW_AFTER,
         };
         self.since + age
     }
@@ -120,7 +121,7 @@
 
 /// A peer that has entries of endpoints which this gateway lacks.
 #[derive(Debug, Clone, Copy)]
-struct Ahead {
+struct PeerAhead {
     peer: SocketAddr,
     position: Position,
     since: Timestamp,
@@ -146,16 +147,16 @@
     told: BTreeMap<u64, Told>,
     /// Time at which the last configuration came into force.
     configured: Option<Timestamp>,
-    /// The pulls that have not ended, at most [`AT_ONCE`], the oldest first.
+    /// The pulls that have not ended, at most [`MAX_IN_FLIGHT`], the oldest first.
     in_flight: Vec<InFlight>,
     /// Number of the last pull of a configuration.
-    asked: u64,
+    requested: u64,
     /// Peers that are not asked, and the end of that time.
-    passed_over: BTreeMap<SocketAddr, Timestamp>,
+    backing_off: BTreeMap<SocketAddr, Timestamp>,
     /// Time of the last progress of the own read, if one is running.
     reading: Option<Timestamp>,
-    list: Option<Ahead>,
-    list_asked: Option<Timestamp>,
+    list: Option<PeerAhead>,
+    list_requested: Option<Timestamp>,
 }
 
 impl Pulls {
@@ -164,14 +165,14 @@
     pub fn told(&mut self, peer: SocketAddr, seen: Seen, complete: bool, own: Own, now: Timestamp) {
         if seen.version > own.seen.version {
             self.newer.insert(peer, seen.version);
-            if self.told.len() < TELLINGS {
+            if self.told.len() < MAX_ANNOUNCED_VERSIONS {
                 self.told.entry(seen.version).or_insert(Told { peer, at: now });
             }
         }
         let lacks_list = complete && !own.complete;
         if lacks_list || seen.endpoints > own.seen.endpoints {
             let since = self.list.map_or(now, |l| l.since);
-            self.list = Some(Ahead { peer, position: seen.endpoints, since });
+            self.list = Some(PeerAhead { peer, position: seen.endpoints, since });
         }
     }
 
@@ -192,7 +193,7 @@
 
     /// Records progress of a peer's response.
     pub fn progressed(&mut self, peer: SocketAddr, progress: Progress, now: Timestamp) {
-        if let Some(pull) = self.in_flight.iter_mut().find(|p| p.is(peer, progress.pull)) {
+        if let Some(pull) = self.in_flight.iter_mut().find(|p| p.matches(peer, progress.pull)) {
             pull.progressed = now;
             pull.bytes = progress.bytes;
             pull.expected = progress.expected;
@@ -209,17 +210,17 @@
     /// unknown.
     pub fn failed(&mut self, peer: SocketAddr, pull: u64, now: Timestamp) -> bool {
         let before = self.in_flight.len();
-        self.in_flight.retain(|p| !p.is(peer, pull));
+        self.in_flight.retain(|p| !p.matches(peer, pull));
         let was_awaited = self.in_flight.len() < before;
         if was_awaited {
-            self.passed_over.insert(peer, now + PASSED_OVER);
+            self.backing_off.insert(peer, now + PEER_BACKOFF);
         }
         was_awaited
     }
 
     /// Records that entries of endpoints have been received.
     pub const fn list_came(&mut self) {
-        self.list_asked = None;
+        self.list_requested = None;
     }
 
     /// Removes a peer that is down.
@@ -242,62 +243,63 @@
     /// Returns the actions that are due; `own` is the state of this gateway.
     pub fn due(&mut self, own: Own, members: &Members, rng: &mut impl Rng, now: Timestamp) -> Due {
         let mut due = Due::default();
-        self.passed_over.retain(|_, until| now < *until);
-        for pull in self.in_flight.extract_if(.., |p| now >= p.over_at()) {
-            self.passed_over.insert(pull.peer, now + PASSED_OVER);
+        self.backing_off.retain(|_, until| now < *until);
+        for pull in self.in_flight.extract_if(.., |p| now >= p.times_out_at()) {
+            self.backing_off.insert(pull.peer, now + PEER_BACKOFF);
             due.silent.push(pull.peer);
         }
         self.newer.retain(|_, version| *version > own.seen.version);
         if self.configuration_due(own).is_some_and(|at| now >= at)
             && let Some(peer) = self.choose(members, rng)
         {
-            self.asked += 1;
-            self.in_flight.push(InFlight::new(self.asked, peer, now));
-            due.configuration = Some((peer, self.asked));
+            self.requested += 1;
+            self.in_flight.push(InFlight::new(self.requested, peer, now));
+            due.configuration = Some((peer, self.requested));
         }
-        let lacks = |l: &Ahead| !own.complete || l.position > own.seen.endpoints;
-        self.list = self.list.filter(lacks);
+        let is_ahead = |l: &PeerAhead| !own.complete || l.position > own.seen.endpoints;
+        self.list = self.list.filter(is_ahead);
         if self.list_due(own).is_some_and(|at| now >= at) {
             due.list = self.list.take().map(|l| l.peer);
-            self.list_asked = Some(now);
+            self.list_requested = Some(now);
         }
         due
     }
 
     /// Earliest time at which [`Self::due`] may return an action, as far as is known now.
     pub fn next_wakeup(&self, own: Own) -> Option<Timestamp> {
-        let over = self.in_flight.iter().map(InFlight::over_at).min();
+        let over = self.in_flight.iter().map(InFlight::times_out_at).min();
         [over, self.configuration_due(own), self.list_due(own)].into_iter().flatten().min()
     }
 
     /// Time at which a configuration is to be requested, possibly while another pull is running.
     fn configuration_due(&self, own: Own) -> Option<Timestamp> {
-        if self.in_flight.len() >= AT_ONCE {
+        if self.in_flight.len() >= MAX_IN_FLIGHT {
             return None;
         }
-        let free = |p: &SocketAddr| self.passed_over.get(p).copied().unwrap_or_default();
-        let free = self.newer.keys().filter(|p| !self.is_asked(**p)).map(free).min()?;
+        let available = |p: &SocketAddr| self.backing_off.get(p).copied().unwrap_or_default();
+        let available =
+            self.newer.keys().filter(|p| !self.is_pulling_from(**p)).map(available).min()?;
         let due = match self.in_flight.first() {
-            Some(pull) => pull.doubled_at(),
-            None => self.waited_until(own),
+            Some(pull) => pull.second_pull_at(),
+            None => self.own_read_grace_end(own),
         };
-        Some(due.max(free))
+        Some(due.max(available))
     }
 
     /// Time until which no peer is asked, since the own read may deliver the configuration.
-    fn waited_until(&self, own: Own) -> Timestamp {
+    fn own_read_grace_end(&self, own: Own) -> Timestamp {
         let since = self.told.values().map(|t| t.at).min().or(self.configured).unwrap_or_default();
         let mut at = since;
         if let Some(configured) = self.configured.filter(|_| !own.is_starting) {
-            at = (at + BEHIND).max(configured + BETWEEN);
+            at = (at + OWN_READ_GRACE).max(configured + MIN_INTERVAL);
         }
         if let Some(reading) = self.reading {
-            at = at.max(reading + READING);
+            at = at.max(reading + READ_PROGRESS_TIMEOUT);
         }
-        at.min(since + LONGEST_WAIT)
+        at.min(since + MAX_WAIT)
     }
 
-    fn is_asked(&self, peer: SocketAddr) -> bool {
+    fn is_pulling_from(&self, peer: SocketAddr) -> bool {
         self.in_flight.iter().any(|p| p.peer == peer)
     }
 
@@ -306,7 +308,7 @@
         let able = self
             .newer
             .iter()
-            .filter(|(p, _)| !self.passed_over.contains_key(*p) && !self.is_asked(**p));
+            .filter(|(p, _)| !self.backing_off.contains_key(*p) && !self.is_pulling_from(**p));
         let ranked: Vec<_> = able.map(|(p, v)| ((*v, members.strength(*p)), *p)).collect();
         let best = ranked.iter().map(|(rank, _)| *rank).max()?;
         let best: Vec<SocketAddr> =
@@ -316,13 +318,13 @@
 
     fn list_due(&self, own: Own) -> Option<Timestamp> {
         let ahead = self.list?;
-        let patience = match own.complete {
+        let wait_limit = match own.complete {
             false => Duration::ZERO,
-            true if own.seen.endpoints.era < ahead.position.era => EARLIER_ERA,
-            true => BEHIND,
+            true if own.seen.endpoints.era < ahead.position.era => OWN_REREAD_GRACE,
+            true => OWN_READ_GRACE,
         };
-        let asked = self.list_asked.map_or(Timestamp::ZERO, |at| at + LIST_ANSWER);
-        Some((ahead.since + patience).max(asked))
+        let requested = self.list_requested.map_or(Timestamp::ZERO, |at| at + LIST_RETRY_DELAY);
+        Some((ahead.since + wait_limit).max(requested))
     }
 }
 
--- a/src/direct/published/cells.rs
+++ b/src/direct/published/cells.rs
@@ -13,11 +13,11 @@
 /// Number of endpoints of batch pools from which cells follow data centres. With calls of 0.3 s, 90
 /// endpoints complete 300 calls a second, by calculation; fleets of 53 and 120 endpoints were
 /// measured, none in between.
-const ONE_OWNER: usize = 90;
+const MIN_ENDPOINTS_FOR_SPLIT: usize = 90;
 /// Minimum number of endpoints of each pool in a cell; with one, its failure would leave none.
-const FEWEST: usize = 2;
+const MIN_ENDPOINTS_PER_POOL: usize = 2;
 /// Name of the only cell of a deployment, and prefix of the names of several.
-const ALONE: &str = "stages";
+const SINGLE_CELL: &str = "stages";
 
 /// The cells of a deployment.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -29,7 +29,10 @@
 
 impl Default for Cells {
     fn default() -> Self {
-        Self { cells: [(ALONE.into(), BTreeSet::new())].into(), by_data_centre: BTreeMap::new() }
+        Self {
+            cells: [(SINGLE_CELL.into(), BTreeSet::new())].into(),
+            by_data_centre: BTreeMap::new(),
+        }
     }
 }
 
@@ -41,27 +44,31 @@
     pub fn of<'a>(batch: impl Iterator<Item = (&'a Pool, &'a Endpoint)>) -> Self {
         let mut counts: Counts<'_> = BTreeMap::new();
         for (pool, endpoint) in batch {
-            let here = counts.entry(endpoint.data_centre.clone()).or_default();
-            *here.entry(&pool.name).or_default() += 1;
+            let per_pool = counts.entry(endpoint.data_centre.clone()).or_default();
+            *per_pool.entry(&pool.name).or_default() += 1;
         }
         let pools: BTreeSet<&Name> =
-            counts.values().flat_map(|here| here.keys().copied()).collect();
-        let all: usize = counts.values().flat_map(|here| here.values()).sum();
-        let groups = if all < ONE_OWNER { Vec::new() } else { groups(&counts, &pools) };
+            counts.values().flat_map(|per_pool| per_pool.keys().copied()).collect();
+        let all: usize = counts.values().flat_map(|per_pool| per_pool.values()).sum();
+        let groups =
+            if all < MIN_ENDPOINTS_FOR_SPLIT { Vec::new() } else { groups(&counts, &pools) };
         if groups.len() < 2 {
             let all: BTreeSet<Name> = counts.into_keys().collect();
-            return Self::new([(ALONE.into(), all)].into());
+            return Self::new([(SINGLE_CELL.into(), all)].into());
         }
         let name = |group: &BTreeSet<Name>| {
             let first = group.first().map_or("", |first| &**first);
-            format!("{ALONE}/{first}").into()
+            format!("{SINGLE_CELL}/{first}").into()
         };
         Self::new(groups.into_iter().map(|group| (name(&group), group)).collect())
     }
 
     fn new(cells: BTreeMap<Name, BTreeSet<Name>>) -> Self {
-        let of_cell = |(cell, places): (&Name, &BTreeSet<Name>)| {
-            places.iter().map(|place| (place.clone(), cell.clone())).collect::<Vec<_>>()
+        let of_cell = |(cell, data_centres): (&Name, &BTreeSet<Name>)| {
+            data_centres
+                .iter()
+                .map(|data_centre| (data_centre.clone(), cell.clone()))
+                .collect::<Vec<_>>()
         };
         let by_data_centre = cells.iter().flat_map(of_cell).collect();
         Self { cells, by_data_centre }
@@ -75,14 +82,14 @@
     /// Returns the cell of a data centre; the first cell for a data centre without endpoints.
     pub fn of_data_centre(&self, data_centre: &str) -> Name {
         let cell = self.by_data_centre.get(data_centre).or_else(|| self.names().next());
-        cell.cloned().unwrap_or_else(|| ALONE.into())
+        cell.cloned().unwrap_or_else(|| SINGLE_CELL.into())
     }
 
     /// Whether the endpoints of a data centre belong to a cell. A single cell has all of
     /// them, and so does an unknown one.
     pub fn has(&self, cell: &str, data_centre: &str) -> bool {
         self.cells.len() == 1
-            || self.cells.get(cell).is_none_or(|places| places.contains(data_centre))
+            || self.cells.get(cell).is_none_or(|data_centres| data_centres.contains(data_centre))
     }
 }
 
@@ -90,19 +97,19 @@
 /// joined with the next ones in the order of names.
 fn groups(counts: &Counts<'_>, pools: &BTreeSet<&Name>) -> Vec<BTreeSet<Name>> {
     let mut groups: Vec<BTreeSet<Name>> = Vec::new();
-    let mut open = BTreeSet::new();
-    for place in counts.keys() {
-        open.insert(place.clone());
+    let mut group = BTreeSet::new();
+    for data_centre in counts.keys() {
+        group.insert(data_centre.clone());
         let count = |pool: &Name| -> usize {
-            open.iter().filter_map(|place| counts[place].get(pool)).sum()
+            group.iter().filter_map(|data_centre| counts[data_centre].get(pool)).sum()
         };
-        if pools.iter().all(|pool| count(pool) >= FEWEST) {
-            groups.push(std::mem::take(&mut open));
+        if pools.iter().all(|pool| count(pool) >= MIN_ENDPOINTS_PER_POOL) {
+            groups.push(std::mem::take(&mut group));
         }
     }
     match groups.last_mut() {
-        Some(last) => last.extend(open),
-        None => groups.push(open),
+        Some(last) => last.extend(group),
+        None => groups.push(group),
     }
     groups
 }
--- a/src/direct/published/documents.rs
+++ b/src/direct/published/documents.rs
@@ -21,15 +21,15 @@
 use crate::message::Timestamp;
 
 /// How long the removal of an endpoint is remembered.
-const GONE_KEPT: Duration = Duration::from_secs(120);
+const REMOVAL_RETENTION: Duration = Duration::from_secs(120);
 /// Time from the start of an era within which every running endpoint has written its entry again:
 /// two seconds as documented by the platform, and one for the change to arrive here.
 pub const WRITTEN_AGAIN_WITHIN: Duration = Duration::from_secs(3);
 /// A restored entry that its endpoint does not renew expires in the store within this time, after
 /// three missed heartbeats; an entry that is still listed by then is confirmed.
-const LAPSES_WITHIN: Duration = Duration::from_secs(5);
+const CONFIRMED_AFTER: Duration = Duration::from_secs(5);
 /// Interval between cleanups of remembered removals.
-const FORGET_EVERY: Duration = Duration::from_secs(5);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Clone)]
 struct Entry {
@@ -38,7 +38,7 @@
     /// The last known incarnation.
     incarnation: u64,
     /// Whether that incarnation was leaving when the entry was removed.
-    left: bool,
+    was_leaving: bool,
     /// Position at which the entry was last listed, and the revision at which its key was created
     /// (0 if unknown).
     listed_at: Position,
@@ -47,24 +47,24 @@
     doubted: Option<(Arc<Endpoint>, Timestamp)>,
     /// The endpoint of an expired entry, and the time until which it remains usable.
     lapsed: Option<(Arc<Endpoint>, Timestamp)>,
-    since: Timestamp,
+    changed_at: Timestamp,
 }
 
 impl Entry {
     /// Returns the endpoint if it may be used.
-    fn in_use(&self) -> Option<&Arc<Endpoint>> {
+    fn usable(&self) -> Option<&Arc<Endpoint>> {
         self.endpoint.as_ref().or(self.lapsed.as_ref().map(|(endpoint, _)| endpoint))
     }
 
     /// Whether the list has the endpoint, confirmed or not.
-    const fn is_named(&self) -> bool {
+    const fn is_in_list(&self) -> bool {
         self.endpoint.is_some() || self.doubted.is_some()
     }
 
     /// Whether an older copy lists an endpoint as ready that is leaving or has left. An incarnation
     /// that leaves never becomes ready again.
-    fn is_leaving(&self, copied: &Endpoint, position: Position) -> bool {
-        let was_leaving = self.endpoint.as_ref().map_or(self.left, |known| known.leaving);
+    fn has_departed(&self, copied: &Endpoint, position: Position) -> bool {
+        let was_leaving = self.endpoint.as_ref().map_or(self.was_leaving, |known| known.leaving);
         self.position.era < position.era
             && was_leaving
             && !copied.leaving
@@ -74,9 +74,9 @@
     /// Whether an older copy lists an endpoint whose entry was removed after the copy. The copy has
     /// the entry at its last known revision or an earlier one. An entry that was written again has
     /// a later revision, a newly created key, or another incarnation.
-    fn is_gone_before(&self, copied: &Endpoint, position: Position, made: u64) -> bool {
+    fn was_removed_since(&self, copied: &Endpoint, position: Position, made: u64) -> bool {
         self.position.era < position.era
-            && self.in_use().is_none()
+            && self.usable().is_none()
             && copied.incarnation == self.incarnation
             && made == self.made
             && position.revision <= self.listed_at.revision
@@ -85,9 +85,9 @@
     /// Whether an older copy lacks the entry because it was created after the copy: its endpoint
     /// may be running and has yet to write it again. An entry that the copy had was removed in the
     /// new era.
-    const fn is_lacked(&self, gone: Position) -> bool {
-        let is_in_copy = self.made > 0 && self.made <= gone.revision;
-        self.position.era < gone.era && self.endpoint.is_some() && !is_in_copy
+    const fn is_missing_from_copy(&self, removed: Position) -> bool {
+        let is_in_copy = self.made > 0 && self.made <= removed.revision;
+        self.position.era < removed.era && self.endpoint.is_some() && !is_in_copy
     }
 }
 
@@ -150,17 +150,17 @@
     endpoints: BTreeMap<Name, Entry>,
     seen: Seen,
     /// Whether the list of endpoints has been received completely at least once.
-    listed: bool,
+    has_full_list: bool,
     /// Position of the publisher's last complete list. Peers with older positions don't restore
     /// entries that were missing from it.
-    read_at: Position,
+    list_read_at: Position,
     /// Era of the latest document, and the time at which the first document of that era arrived.
-    era_began: (u64, Timestamp),
+    era_start: (u64, Timestamp),
     absence: Absence,
     /// Lower bound for the next expiry; `None` if no entry will expire.
     next_expiry: Option<Timestamp>,
     /// Earliest time of the next cleanup of remembered removals.
-    forget_from: Timestamp,
+    next_cleanup: Timestamp,
 }
 
 impl Documents {
@@ -172,12 +172,12 @@
     /// The endpoints that may be used: those with a listed entry, or with one that expired
     /// recently.
     pub fn endpoints(&self) -> impl Iterator<Item = &Arc<Endpoint>> + Clone {
-        self.endpoints.values().filter_map(Entry::in_use)
+        self.endpoints.values().filter_map(Entry::usable)
     }
 
     /// Returns the endpoint with this id if it may be used.
     pub fn endpoint(&self, id: &str) -> Option<&Arc<Endpoint>> {
-        self.endpoints.get(id).and_then(Entry::in_use)
+        self.endpoints.get(id).and_then(Entry::usable)
     }
 
     /// Whether an endpoint has a listed entry.
@@ -235,27 +235,27 @@
 
     /// Whether a configuration and a complete list of endpoints have been received.
     pub const fn is_complete(&self) -> bool {
-        self.seen.version > 0 && self.listed
+        self.seen.version > 0 && self.has_full_list
     }
 
     /// Merges documents; those with older positions change nothing.
     pub fn merge(&mut self, mut documents: Vec<Revised>, now: Timestamp) -> Merged {
-        documents.retain(|document| !self.was_missing(document));
-        self.take_in(documents, now)
+        documents.retain(|document| !self.was_absent_from_list(document));
+        self.apply(documents, now)
     }
 
     /// Whether the document is an endpoint's entry that was missing from a complete list at a later
     /// position.
-    fn was_missing(&self, document: &Revised) -> bool {
+    fn was_absent_from_list(&self, document: &Revised) -> bool {
         let Document::Endpoint(endpoint) = &document.document else {
             return false;
         };
-        document.position <= self.read_at && !self.endpoints.contains_key(&endpoint.id)
+        document.position <= self.list_read_at && !self.endpoints.contains_key(&endpoint.id)
     }
 
-    fn take_in(&mut self, documents: Vec<Revised>, now: Timestamp) -> Merged {
-        let gone = documents.iter().filter(|d| self.takes_away(d)).count();
-        let held_until = self.held_until(gone, now);
+    fn apply(&mut self, documents: Vec<Revised>, now: Timestamp) -> Merged {
+        let removed = documents.iter().filter(|d| self.removes_listed(d)).count();
+        let held_until = self.held_until(removed, now);
         let mut merged = Merged::default();
         for Revised { position, made, document } in documents {
             match document {
@@ -265,10 +265,10 @@
                 Document::Endpoint(endpoint) => {
                     self.list(position, made, endpoint, now, &mut merged);
                 }
-                Document::Gone(id) => self.take_away(id, position, held_until, now, &mut merged),
+                Document::Gone(id) => self.remove_entry(id, position, held_until, now, &mut merged),
             }
         }
-        self.forget(now);
+        self.forget_removed(now);
         merged
     }
 
@@ -281,21 +281,21 @@
                 _ => None,
             })
             .collect();
-        let mut merged = self.take_in(documents, now);
-        self.read_at = self.read_at.max(at);
+        let mut merged = self.apply(documents, now);
+        self.list_read_at = self.list_read_at.max(at);
         let missing: Vec<Name> = self
             .endpoints
             .iter()
-            .filter(|(id, e)| e.is_named() && e.position < at && !listed.contains(*id))
+            .filter(|(id, e)| e.is_in_list() && e.position < at && !listed.contains(*id))
             .map(|(id, _)| id.clone())
             .collect();
         let held_until = self.held_until(missing.len(), now);
         for id in missing {
-            self.take_away(id, at, held_until, now, &mut merged);
+            self.remove_entry(id, at, held_until, now, &mut merged);
         }
         // An empty list has no entry to carry its era.
         self.seen.endpoints = self.seen.endpoints.max(Position::new(at.era, 0));
-        self.listed = true;
+        self.has_full_list = true;
         merged
     }
 
@@ -321,7 +321,7 @@
 
     /// Records that a peer sent all entries that this process lacked, up to the position `seen`.
     pub fn note_listed(&mut self, seen: Position) {
-        self.listed = true;
+        self.has_full_list = true;
         self.seen.endpoints = self.seen.endpoints.max(seen);
     }
 
@@ -337,7 +337,7 @@
     }
 
     /// Whether the document removes an endpoint that is listed and not leaving.
-    fn takes_away(&self, document: &Revised) -> bool {
+    fn removes_listed(&self, document: &Revised) -> bool {
         let Document::Gone(id) = &document.document else {
             return false;
         };
@@ -345,12 +345,12 @@
         known.and_then(|e| e.endpoint.as_ref()).is_some_and(|e| !e.leaving)
     }
 
-    fn held_until(&self, gone: usize, now: Timestamp) -> Option<Timestamp> {
-        if gone == 0 {
+    fn held_until(&self, removed: usize, now: Timestamp) -> Option<Timestamp> {
+        if removed == 0 {
             return None;
         }
         let listed = self.endpoints.values().filter(|e| e.endpoint.is_some()).count();
-        self.absence.held_until(gone, listed, now)
+        self.absence.held_until(removed, listed, now)
     }
 
     /// Merges an endpoint's entry as of a position.
@@ -363,7 +363,7 @@
         merged: &mut Merged,
     ) {
         let id = endpoint.id.clone();
-        let Some(known) = self.superseded(&id, position, now) else {
+        let Some(known) = self.superseded_entry(&id, position, now) else {
             return;
         };
         let incarnation = endpoint.incarnation;
@@ -371,33 +371,33 @@
             position,
             endpoint: Some(endpoint.clone()),
             incarnation,
-            left: false,
+            was_leaving: false,
             listed_at: position,
             made,
             doubted: None,
             lapsed: None,
-            since: now,
+            changed_at: now,
         };
         if let Some(known) = known {
             if known.incarnation != 0 && incarnation != known.incarnation {
                 merged.restarted.push(id.clone());
             }
-            if known.is_leaving(&endpoint, position) {
+            if known.has_departed(&endpoint, position) {
                 merged.leaving_on.push(Departure::of(&endpoint));
-            } else if known.is_gone_before(&endpoint, position, made) {
-                let until = now + LAPSES_WITHIN;
+            } else if known.was_removed_since(&endpoint, position, made) {
+                let until = now + CONFIRMED_AFTER;
                 entry.doubted = entry.endpoint.take().zip(Some(until));
                 entry.listed_at = known.listed_at;
                 merged.doubted.push(id.clone());
-                self.expires_at(until);
+                self.schedule_expiry(until);
             }
         }
-        self.enter(id, entry, merged);
+        self.store_entry(id, entry, merged);
     }
 
     /// Merges the removal of an endpoint's entry as of a position. The endpoint remains usable
     /// until `held_until`.
-    fn take_away(
+    fn remove_entry(
         &mut self,
         id: Name,
         position: Position,
@@ -405,63 +405,64 @@
         now: Timestamp,
         merged: &mut Merged,
     ) {
-        let Some(known) = self.superseded(&id, position, now) else {
+        let Some(known) = self.superseded_entry(&id, position, now) else {
             return;
         };
         let mut entry = Entry {
             position,
             endpoint: None,
             incarnation: 0,
-            left: false,
+            was_leaving: false,
             listed_at: position,
             made: 0,
             doubted: None,
             lapsed: None,
-            since: now,
+            changed_at: now,
         };
         if let Some(known) = known {
             entry.incarnation = known.incarnation;
             (entry.listed_at, entry.made) = (known.listed_at, known.made);
-            entry.left = known.endpoint.as_ref().map_or(known.left, |e| e.leaving);
-            let is_lacked = known.is_lacked(position);
-            let lacked_until = is_lacked.then(|| self.era_began.1 + WRITTEN_AGAIN_WITHIN);
-            let held_until = lacked_until.filter(|until| now < *until).max(held_until);
+            entry.was_leaving = known.endpoint.as_ref().map_or(known.was_leaving, |e| e.leaving);
+            let is_missing_from_copy = known.is_missing_from_copy(position);
+            let missing_until =
+                is_missing_from_copy.then(|| self.era_start.1 + WRITTEN_AGAIN_WITHIN);
+            let held_until = missing_until.filter(|until| now < *until).max(held_until);
             entry.lapsed = match &known.endpoint {
                 // Peers that read the list at another position report the same removal again.
                 None => known.lapsed.clone(),
                 Some(endpoint) => (!endpoint.leaving).then(|| endpoint.clone()).zip(held_until),
             };
-            if is_lacked && entry.lapsed.is_some() {
+            if is_missing_from_copy && entry.lapsed.is_some() {
                 merged.lacked.push(id.clone());
             }
         }
         if let Some((_, until)) = &entry.lapsed {
-            self.expires_at(*until);
+            self.schedule_expiry(*until);
         }
-        self.enter(id, entry, merged);
+        self.store_entry(id, entry, merged);
     }
 
     /// Returns the known entry (`Some(None)` if there is none), or `None` if it is not older than
     /// `position`.
-    fn superseded(
+    fn superseded_entry(
         &mut self,
         id: &str,
         position: Position,
         now: Timestamp,
     ) -> Option<Option<Entry>> {
         self.seen.endpoints = self.seen.endpoints.max(position);
-        if self.era_began.0 < position.era {
-            self.era_began = (position.era, now);
+        if self.era_start.0 < position.era {
+            self.era_start = (position.era, now);
         }
         let known = self.endpoints.get(id);
         known.is_none_or(|known| known.position < position).then(|| known.cloned())
     }
 
-    fn expires_at(&mut self, until: Timestamp) {
+    fn schedule_expiry(&mut self, until: Timestamp) {
         self.next_expiry = Some(self.next_expiry.map_or(until, |at| at.min(until)));
     }
 
-    fn enter(&mut self, id: Name, entry: Entry, merged: &mut Merged) {
+    fn store_entry(&mut self, id: Name, entry: Entry, merged: &mut Merged) {
         let before = self.endpoints.get(&id).and_then(|known| known.endpoint.as_ref());
         if before != entry.endpoint.as_ref() {
             merged.endpoints.push(id.clone());
@@ -470,11 +471,12 @@
     }
 
     /// Forgets endpoints that were removed long ago.
-    fn forget(&mut self, now: Timestamp) {
-        if now < self.forget_from {
+    fn forget_removed(&mut self, now: Timestamp) {
+        if now < self.next_cleanup {
             return;
         }
-        self.forget_from = now + FORGET_EVERY;
-        self.endpoints.retain(|_, e| e.endpoint.is_some() || now < e.since + GONE_KEPT);
+        self.next_cleanup = now + CLEANUP_INTERVAL;
+        self.endpoints
+            .retain(|_, e| e.endpoint.is_some() || now < e.changed_at + REMOVAL_RETENTION);
     }
 }
--- a/src/direct/published/evacuations.rs
+++ b/src/direct/published/evacuations.rs
@@ -20,7 +20,7 @@
 
 /// Maximum number of data centres whose orders are kept; bounds memory, since an order may name a
 /// data centre that does not exist.
-const MOST: usize = 64;
+const MAX_ORDERS: usize = 64;
 
 /// A change of one order: given or withdrawn.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -101,7 +101,7 @@
     pub fn read(changes: &[Evacuation], at: Position) -> Self {
         let mut read = Self { read_at: at, orders: BTreeMap::new() };
         for change in changes.iter().filter(|change| change.stands) {
-            read.keep(change.data_centre.clone(), change.position, true);
+            read.store(change.data_centre.clone(), change.position, true);
         }
         read
     }
@@ -139,13 +139,15 @@
 
     /// Whether an order is rejected because too many are kept already.
     pub fn left_out(&self, change: &Evacuation) -> bool {
-        change.stands && self.orders.len() >= MOST && !self.orders.contains_key(&change.data_centre)
+        change.stands
+            && self.orders.len() >= MAX_ORDERS
+            && !self.orders.contains_key(&change.data_centre)
     }
 
     /// Applies a change; one that is older than the known state of its data centre changes nothing.
     pub fn change(&mut self, change: &Evacuation) {
-        if change.position > self.known_at(&change.data_centre) {
-            self.keep(change.data_centre.clone(), change.position, change.stands);
+        if change.position > self.known_up_to(&change.data_centre) {
+            self.store(change.data_centre.clone(), change.position, change.stands);
         }
     }
 
@@ -153,11 +155,11 @@
     pub fn merge(&mut self, other: &Self) {
         let known = self.orders.keys().chain(other.orders.keys()).cloned();
         for data_centre in known.collect::<BTreeSet<Name>>() {
-            if other.known_at(&data_centre) <= self.known_at(&data_centre) {
+            if other.known_up_to(&data_centre) <= self.known_up_to(&data_centre) {
                 continue;
             }
             match other.orders.get(&data_centre) {
-                Some(order) => self.keep(data_centre, order.position, order.stands),
+                Some(order) => self.store(data_centre, order.position, order.stands),
                 None => {
                     self.orders.remove(&data_centre);
                 }
@@ -169,17 +171,17 @@
     }
 
     /// Position up to which the state of a data centre's order is known.
-    fn known_at(&self, data_centre: &str) -> Position {
+    fn known_up_to(&self, data_centre: &str) -> Position {
         let changed_at = self.orders.get(data_centre).map(|order| order.position);
         changed_at.unwrap_or_default().max(self.read_at)
     }
 
     /// Stores an order. If there are too many, it replaces the oldest withdrawn one; without such
     /// an order the new one is rejected.
-    fn keep(&mut self, data_centre: Name, position: Position, stands: bool) {
-        if self.orders.len() >= MOST && !self.orders.contains_key(&data_centre) {
-            let taken_back = self.orders.iter().filter(|(_, order)| !order.stands);
-            let oldest = taken_back.min_by_key(|(_, order)| order.position);
+    fn store(&mut self, data_centre: Name, position: Position, stands: bool) {
+        if self.orders.len() >= MAX_ORDERS && !self.orders.contains_key(&data_centre) {
+            let withdrawn = self.orders.iter().filter(|(_, order)| !order.stands);
+            let oldest = withdrawn.min_by_key(|(_, order)| order.position);
             let Some(oldest) = oldest.map(|(name, _)| name.clone()) else {
                 return;
             };
@@ -192,15 +194,15 @@
 /// Orders that stay in force, or withdrawn, as they were before an era began with an older copy.
 #[derive(Debug, Default)]
 pub struct Unconfirmed {
-    orders: BTreeMap<Name, Before>,
+    orders: BTreeMap<Name, OrderBeforeEra>,
 }
 
 /// State of an order before the era began.
 #[derive(Debug)]
-struct Before {
-    stood: bool,
+struct OrderBeforeEra {
+    was_in_force: bool,
     /// The order in the copy; a different one has been written again since.
-    copied: Option<Order>,
+    in_copy: Option<Order>,
     until: Timestamp,
 }
 
@@ -215,16 +217,17 @@
     ) {
         let is_first = *from == Evacuations::default();
         if is_first || from.era() == to.era() {
-            let is_as_copied =
-                |name: &Name, before: &Before| to.orders.get(name).copied() == before.copied;
-            self.orders.retain(|name, before| is_as_copied(name, before));
+            let is_unchanged = |name: &Name, before: &OrderBeforeEra| {
+                to.orders.get(name).copied() == before.in_copy
+            };
+            self.orders.retain(|name, before| is_unchanged(name, before));
             return;
         }
         let until = now + WRITTEN_AGAIN_WITHIN;
         for data_centre in in_force ^ &to.standing() {
-            let stood = in_force.contains(&data_centre);
-            let copied = to.orders.get(&data_centre).copied();
-            self.orders.insert(data_centre, Before { stood, copied, until });
+            let was_in_force = in_force.contains(&data_centre);
+            let in_copy = to.orders.get(&data_centre).copied();
+            self.orders.insert(data_centre, OrderBeforeEra { was_in_force, in_copy, until });
         }
     }
 
@@ -244,7 +247,7 @@
     /// known.
     pub fn in_force(&self, mut standing: BTreeSet<Name>) -> BTreeSet<Name> {
         for (data_centre, order) in &self.orders {
-            if order.stood {
+            if order.was_in_force {
                 standing.insert(data_centre.clone());
             } else {
                 standing.remove(data_centre);
--- a/src/direct/published/lapse.rs
+++ b/src/direct/published/lapse.rs
@@ -10,18 +10,18 @@
 
 /// Time after the publisher's return, or after many entries expired at once, within which entries
 /// are restored.
-const BACK_WITHIN: Duration = Duration::from_secs(2);
+const RESTORED_WITHIN: Duration = Duration::from_secs(2);
 /// Entries outlive outages of the publisher that are shorter than this.
-const SHORTEST_ABSENCE: Duration = Duration::from_secs(2);
+const MIN_OUTAGE: Duration = Duration::from_secs(2);
 /// Fewer entries that are removed at once do not indicate an outage.
-const FEWEST_AT_ONCE: usize = 4;
+const MIN_SIMULTANEOUS: usize = 4;
 
 /// Outages of the publisher, as observed by this process.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Absence {
     since: Option<Timestamp>,
     /// End of the last outage that was long enough for entries to expire.
-    returned: Option<Timestamp>,
+    ended_at: Option<Timestamp>,
 }
 
 impl Absence {
@@ -32,17 +32,17 @@
             return;
         }
         if let Some(since) = self.since.take()
-            && now >= since + SHORTEST_ABSENCE
+            && now >= since + MIN_OUTAGE
         {
-            self.returned = Some(now);
+            self.ended_at = Some(now);
         }
     }
 
     /// Returns the time until which entries are retained although the publisher reports them as
-    /// removed, `gone` of `listed` ones at once. `None` if the endpoints have left.
-    pub fn held_until(&self, gone: usize, listed: usize, now: Timestamp) -> Option<Timestamp> {
-        let returned = self.returned.map(|at| at + BACK_WITHIN).filter(|until| now < *until);
-        let many_at_once = gone >= FEWEST_AT_ONCE && gone * 2 >= listed;
-        returned.or_else(|| many_at_once.then(|| now + BACK_WITHIN))
+    /// removed, `removed` of `listed` ones at once. `None` if the endpoints have left.
+    pub fn held_until(&self, removed: usize, listed: usize, now: Timestamp) -> Option<Timestamp> {
+        let restored_by = self.ended_at.map(|at| at + RESTORED_WITHIN).filter(|until| now < *until);
+        let many_at_once = removed >= MIN_SIMULTANEOUS && removed * 2 >= listed;
+        restored_by.or_else(|| many_at_once.then(|| now + RESTORED_WITHIN))
     }
 }
--- a/src/direct/published/position.rs
+++ b/src/direct/published/position.rs
@@ -59,7 +59,7 @@
     /// the revision is in that era. After that the era is ambiguous, and the position counts as
     /// older than all others.
     pub fn adopt(&self, position: Position) -> Position {
-        let is_of_the_only_one = position.era == 0 && !self.has_changed;
-        if is_of_the_only_one { Position::new(self.newest(), position.revision) } else { position }
+        let is_unambiguous = position.era == 0 && !self.has_changed;
+        if is_unambiguous { Position::new(self.newest(), position.revision) } else { position }
     }
 }
--- a/src/direct/published/table.rs
+++ b/src/direct/published/table.rs
@@ -101,9 +101,9 @@
     /// Returns an endpoint as it may be used: one that announced its departure or that is in an
     /// evacuated data centre is marked as leaving, as if its entry said so.
     fn usable(&self, endpoint: &Arc<Endpoint>) -> Arc<Endpoint> {
-        let takes_none = self.evacuated.contains(&endpoint.data_centre)
+        let accepts_none = self.evacuated.contains(&endpoint.data_centre)
             || !self.departed.is_empty() && self.departed.contains(&Departure::of(endpoint));
-        if endpoint.leaving || !takes_none {
+        if endpoint.leaving || !accepts_none {
             return endpoint.clone();
         }
         Arc::new(Endpoint { leaving: true, ..(**endpoint).clone() })
