--- a/src/direct/core.rs
+++ b/src/direct/core.rs
@@ -44,7 +44,7 @@
 pub(super) const PUBLISHER: &str = "publisher";
 /// Maximum age of a load report, measured from its request. A report that waited to be read while
 /// this process was suspended describes the endpoint as it was then.
-const REPORT_KEPT: Duration = Duration::from_millis(500);
+const MAX_REPORT_AGE: Duration = Duration::from_millis(500);
 
 /// Parameters of a gateway core.
 #[derive(Debug, Clone)]
@@ -107,23 +107,23 @@
     /// Permits that this gateway issues.
     pub(super) limiter: Limiter,
     /// Probes that are deferred to the end of the endpoint's pause, by endpoint id.
-    pub(super) later_probes: BTreeMap<Name, (Timestamp, Arc<Endpoint>)>,
+    pub(super) deferred_probes: BTreeMap<Name, (Timestamp, Arc<Endpoint>)>,
     /// When a peer is next asked for its suspects.
-    pub(super) next_ask: Timestamp,
+    pub(super) next_suspects_request: Timestamp,
     /// How long the current event waited in the queue.
-    waited: Duration,
+    queue_delay: Duration,
     /// When the process last resumed after a suspension.
     pub(super) resumed_at: Timestamp,
     /// Gateways that must respond before this one becomes ready; empty once one with a complete
     /// state has responded.
-    pub(super) unmet: BTreeSet<SocketAddr>,
+    pub(super) unanswered_peers: BTreeSet<SocketAddr>,
     /// When the first configuration and endpoint list were complete.
-    pub(super) documented_since: Option<Timestamp>,
+    pub(super) documents_since: Option<Timestamp>,
     /// When readiness was last checked.
-    pub(super) updated_at: Timestamp,
+    pub(super) readiness_checked_at: Timestamp,
     /// When configuration and list were first the newest known ones.
     pub(super) complete_since: Option<Timestamp>,
-    pub(super) next_beat: Timestamp,
+    pub(super) next_heartbeat: Timestamp,
     pub(super) stop: Option<Stop>,
     grace: Duration,
     pub(super) settling: Duration,
@@ -135,8 +135,8 @@
 impl GatewayCore {
     /// Creates a core without documents or known peers.
     pub fn new(setup: Setup) -> Self {
-        let mut unmet: BTreeSet<SocketAddr> = setup.seeds.iter().copied().collect();
-        unmet.remove(&setup.address);
+        let mut unanswered_peers: BTreeSet<SocketAddr> = setup.seeds.iter().copied().collect();
+        unanswered_peers.remove(&setup.address);
         Self {
             members: Members::new(setup.address, setup.incarnation, setup.capacity, setup.seeds),
             builds: Builds::default(),
@@ -165,15 +165,15 @@
             limits: Arc::default(),
             permits: Permits::default(),
             limiter: Limiter::default(),
-            later_probes: BTreeMap::new(),
-            next_ask: Timestamp::ZERO,
-            waited: Duration::ZERO,
+            deferred_probes: BTreeMap::new(),
+            next_suspects_request: Timestamp::ZERO,
+            queue_delay: Duration::ZERO,
             resumed_at: Timestamp::ZERO,
-            unmet,
-            documented_since: None,
-            updated_at: Timestamp::ZERO,
+            unanswered_peers,
+            documents_since: None,
+            readiness_checked_at: Timestamp::ZERO,
             complete_since: None,
-            next_beat: Timestamp::ZERO,
+            next_heartbeat: Timestamp::ZERO,
             stop: None,
             grace: setup.grace,
             settling: setup.settling,
@@ -227,10 +227,10 @@
                 self.owners.batch_ended(call, outcome, &self.table, now);
             }
             Event::EndpointStatus { endpoint, asked, statement, sent, at } => {
-                self.stated(&endpoint, asked, statement, (sent, at), now);
+                self.on_endpoint_status(&endpoint, asked, statement, (sent, at), now);
             }
             Event::ReportReceived { endpoint, requested_at, .. }
-                if now >= requested_at + REPORT_KEPT =>
+                if now >= requested_at + MAX_REPORT_AGE =>
             {
                 self.log(LogEvent::NoReport { endpoint });
             }
@@ -239,29 +239,29 @@
             }
             Event::ReportFailed { endpoint } => self.log(LogEvent::NoReport { endpoint }),
             Event::Probed { endpoint, incarnation, is_closed } => {
-                self.probed(&endpoint, incarnation, is_closed, now);
+                self.on_probed(&endpoint, incarnation, is_closed, now);
             }
-            Event::PeerMessage { from, message } => self.on_peer(from, message, now),
+            Event::PeerMessage { from, message } => self.on_peer_message(from, message, now),
             Event::PeerGreeted { address, incarnation, build } => {
-                self.greeted(address, incarnation, &build);
+                self.on_greeting(address, incarnation, &build);
             }
             Event::PeerMessageUnreadable { from, announced_form, unread } => {
-                self.unread(from, announced_form, unread)
+                self.on_unreadable_message(from, announced_form, unread)
             }
             Event::PeerInboundFailed { address, incarnation } => {
                 if self.members.suspect(address, incarnation, now) {
-                    self.probe(address, now);
+                    self.probe_peer(address, now);
                 }
             }
             Event::PeerOutboundFailed { address } => {
                 let life = self.members.life(address);
                 if life.is_some_and(|life| self.members.suspect(address, life, now)) {
-                    self.probe(address, now);
+                    self.probe_peer(address, now);
                 }
             }
             Event::PeerUnreachable { address } => self.on_unreachable(address, now),
             Event::Published { documents, snapshot_at } => {
-                self.published(documents, snapshot_at, now)
+                self.on_published(documents, snapshot_at, now)
             }
             Event::Evacuations { changes, snapshot_at } => {
                 self.evacuations_published(&changes, snapshot_at, now);
@@ -282,10 +282,10 @@
             Event::ConfigurationPullAborted { from, pull } => {
                 self.pull_failed(from, pull, "broken off", now)
             }
-            Event::StoreRead(read) => self.store_read(&read),
+            Event::StoreRead(read) => self.on_store_read(&read),
             Event::Seeds(seeds) => self.members.set_seeds(seeds),
             Event::Drain { at } => self.drain(at.min(now), now),
-            Event::Shutdown => self.end(now),
+            Event::Shutdown => self.shut_down(now),
             Event::Tick => {}
         }
     }
@@ -297,8 +297,8 @@
     /// Submits a request, or holds it back while the documents that its decision needs are about to
     /// arrive.
     fn submit(&mut self, caller: u64, incoming: IncomingRequest, now: Timestamp) {
-        let arrived = now.saturating_sub(self.waited);
-        if self.early.is_open() && !self.knows_enough(&incoming, now) {
+        let arrived = now.saturating_sub(self.queue_delay);
+        if self.early.is_open() && !self.can_decide(&incoming, now) {
             return self.early.add(caller, incoming, arrived);
         }
         let known = self.is_complete();
@@ -310,13 +310,13 @@
             self.stop = Some(Stop::new(at, self.grace));
             let others_serve = stop::others_serve(&self.members, now);
             self.log(LogEvent::Stopping { grace_ms: ms(self.grace), others_serve });
-            self.next_beat = now;
-            self.look_at_stop(now);
+            self.next_heartbeat = now;
+            self.update_stop(now);
         }
     }
 
     /// Updates the requests' view of the stop.
-    fn look_at_stop(&mut self, now: Timestamp) {
+    fn update_stop(&mut self, now: Timestamp) {
         if let Some(stop) = self.stop {
             let stopping = Stopping {
                 stop,
@@ -328,13 +328,13 @@
     }
 
     /// Ends the process's work: everything that is unfinished is refused or aborted.
-    fn end(&mut self, now: Timestamp) {
+    fn shut_down(&mut self, now: Timestamp) {
         self.drain(now, now);
         if let Some(stop) = &mut self.stop {
             stop.end(now);
         }
-        self.look_at_stop(now);
-        self.look_at_early(now);
+        self.update_stop(now);
+        self.submit_early_requests(now);
         let (unanswered, streams) = self.requests.end_all(now);
         let own = self.members.own().address;
         self.owners.end_all(own);
@@ -346,13 +346,13 @@
         });
     }
 
-    pub(super) fn tell(&mut self, to: SocketAddr, message: PeerMessage) {
+    pub(super) fn send(&mut self, to: SocketAddr, message: PeerMessage) {
         self.out.push(Action::Send { to, message });
     }
 
     fn housekeeping(&mut self, now: Timestamp) {
         for member in self.members.expire(now) {
-            self.peer_lost(member.address, member.incarnation, "silent", now);
+            self.peer_down(member.address, member.incarnation, "silent", now);
             // If the peer is up, its connections have fallen silent, and probably the one to it as
             // well. On the recorded day with silent connections, gateways received from each other
             // again 0.01 to 0.2 s later with this, instead of 0.6 to 1.0 s.
@@ -362,14 +362,14 @@
         self.merged(&expired, "not back", false, now);
         self.confirm_orders(now);
         self.update_state(now);
-        self.look_at_early(now);
-        self.probe_later_ones(now);
-        self.look_at_permits(now);
-        if now >= self.next_beat {
-            self.next_beat = now + HEARTBEAT;
-            self.beat(now);
+        self.submit_early_requests(now);
+        self.send_deferred_probes(now);
+        self.process_permits(now);
+        if now >= self.next_heartbeat {
+            self.next_heartbeat = now + HEARTBEAT;
+            self.send_heartbeat(now);
         }
-        self.catch_up(now);
+        self.pull_missing_documents(now);
         self.owners.look(&self.table, now);
         self.requests.look(&self.table, now);
     }
@@ -388,9 +388,11 @@
             }
             for action in produced {
                 match action {
-                    Action::Send { to, message } if to == own => self.on_peer(own, message, now),
-                    Action::PoisonReport(report) => self.poison_reported(report, now),
-                    Action::RequestPermit(wanted) => self.ask_permit(wanted, now),
+                    Action::Send { to, message } if to == own => {
+                        self.on_peer_message(own, message, now)
+                    }
+                    Action::PoisonReport(report) => self.on_poison_report(report, now),
+                    Action::RequestPermit(wanted) => self.request_permit(wanted, now),
                     action => actions.push(action),
                 }
             }
@@ -428,15 +430,15 @@
         self.members.on_suspension(duration, now);
         self.requests.on_suspension(now);
         self.owners.on_suspension(now);
-        self.next_beat = Timestamp::ZERO;
-        self.next_ask = Timestamp::ZERO;
+        self.next_heartbeat = Timestamp::ZERO;
+        self.next_suspects_request = Timestamp::ZERO;
         self.log(LogEvent::Suspended { for_ms: ms(duration) });
     }
 
-    fn on_queue_delay(&mut self, waited: Duration, now: Timestamp) {
-        self.waited = waited;
+    fn on_queue_delay(&mut self, queue_delay: Duration, now: Timestamp) {
+        self.queue_delay = queue_delay;
         // The time of a suspension does not count as event lag.
-        self.lateness.waited(waited.min(now.saturating_sub(self.resumed_at)), now);
+        self.lateness.waited(queue_delay.min(now.saturating_sub(self.resumed_at)), now);
         let lateness = self.lateness.now(now);
         self.requests.set_lateness(lateness);
         self.owners.set_lateness(lateness);
@@ -446,7 +448,7 @@
     }
 
     fn handle(&mut self, event: Event, now: Timestamp) -> Vec<Action> {
-        self.look_at_stop(now);
+        self.update_stop(now);
         self.on_event(event, now);
         self.housekeeping(now);
         self.collect(now)
@@ -454,13 +456,21 @@
 
     fn next_wakeup(&self) -> Option<Timestamp> {
         let wakeups = [self.owners.next_wakeup(), self.requests.next_wakeup()];
-        let pulls = self.pulls.next_wakeup(self.own()).into_iter();
-        let behind = pulls.chain(self.documents.next_expiry()).chain(self.members.next_suspicion());
-        let behind = behind.chain(self.unconfirmed.next_expiry()).chain(self.next_completion());
+        let pulls = self.pulls.next_wakeup(self.pull_state()).into_iter();
+        let documents =
+            pulls.chain(self.documents.next_expiry()).chain(self.members.next_suspicion());
+        let documents =
+            documents.chain(self.unconfirmed.next_expiry()).chain(self.next_completion());
         let settled =
             self.complete_since.filter(|_| !self.early.is_empty()).map(|s| s + self.settling);
         let early = self.early.next_wakeup().into_iter().chain(settled);
         let early = early.chain(self.next_permit());
-        wakeups.into_iter().flatten().chain(behind).chain(early).chain([self.next_beat]).min()
+        wakeups
+            .into_iter()
+            .flatten()
+            .chain(documents)
+            .chain(early)
+            .chain([self.next_heartbeat])
+            .min()
     }
 }
--- a/src/direct/endpoint_status.rs
+++ b/src/direct/endpoint_status.rs
@@ -18,7 +18,7 @@
 impl GatewayCore {
     /// Handles the status headers of a response: `sent` is when the message was sent, `at` when the
     /// response's head was read.
-    pub(super) fn stated(
+    pub(super) fn on_endpoint_status(
         &mut self,
         endpoint: &Arc<Endpoint>,
         asked: Asked,
@@ -28,14 +28,15 @@
     ) {
         let departure = Departure::of(endpoint);
         let is_known = self.departures.has(&departure);
-        let paused_until = statement.backoff.and_then(|b| self.paused(endpoint, b, at, now));
+        let paused_until = statement.backoff.and_then(|b| self.start_pause(endpoint, b, at, now));
         if statement.leaving {
-            self.departed(departure, asked.as_str(), now);
+            self.on_departure(departure, asked.as_str(), now);
         }
-        let turns_cold = statement.cold.is_some_and(|left| self.is_cold(endpoint, left, at, now));
+        let turns_cold =
+            statement.cold.is_some_and(|left| self.update_cold(endpoint, left, at, now));
         let leaves = statement.leaving && !is_known;
         let is_new_limit =
-            statement.limit.is_some_and(|limit| self.limit_stated(endpoint, limit, sent, now));
+            statement.limit.is_some_and(|limit| self.on_limit_status(endpoint, limit, sent, now));
         if !leaves && statement.backoff.is_none() && !turns_cold && !is_new_limit {
             return;
         }
@@ -64,7 +65,7 @@
     ///
     /// Owners are informed, too: whichever call the endpoint responded to, all calls of this
     /// gateway share its reduced capacity.
-    fn is_cold(
+    fn update_cold(
         &mut self,
         endpoint: &Endpoint,
         left: Duration,
@@ -77,14 +78,14 @@
     }
 
     /// Handles departures that a peer reports.
-    pub(super) fn departures_told(
+    pub(super) fn departures_received(
         &mut self,
         from: SocketAddr,
-        told: Vec<Departure>,
+        departures: Vec<Departure>,
         now: Timestamp,
     ) {
-        for departure in told {
-            self.departed(departure, &from.to_string(), now);
+        for departure in departures {
+            self.on_departure(departure, &from.to_string(), now);
         }
     }
 
@@ -93,36 +94,36 @@
     /// The table marks the endpoint as leaving. So everything that avoids endpoints that the list
     /// marks as leaving avoids this one from now on, at any stage of a request; separate rules for
     /// each way of calling would miss one.
-    pub(super) fn departed(&mut self, departure: Departure, source: &str, now: Timestamp) {
+    pub(super) fn on_departure(&mut self, departure: Departure, source: &str, now: Timestamp) {
         let was_full = self.departures.is_full();
         if !self.departures.heard(departure.clone(), now) {
             return;
         }
         if was_full {
-            self.forget_departed();
+            self.prune_departures();
         }
         let life = |endpoint: &&Arc<Endpoint>| endpoint.incarnation == departure.incarnation;
         let endpoint = self.documents.endpoint(&departure.endpoint).filter(life).cloned();
-        let is_news = endpoint.as_ref().is_some_and(|endpoint| !endpoint.leaving);
+        let is_new = endpoint.as_ref().is_some_and(|endpoint| !endpoint.leaving);
         let (id, incarnation) = (departure.endpoint.clone(), departure.incarnation);
-        let there = self.documents.endpoint(&id).cloned();
-        self.table.depart(departure, there.as_ref());
+        let listed = self.documents.endpoint(&id).cloned();
+        self.table.depart(departure, listed.as_ref());
         self.out.push(Action::BlockSends { endpoint: id.clone(), incarnation, until: None });
-        if !is_news {
+        if !is_new {
             return;
         }
         let state = EntryState::Leaving.as_str();
         self.log(LogEvent::Endpoint { endpoint: id.clone(), state, source: source.to_owned() });
         self.requests.changed(&self.table, &Merged::default(), &[], now);
         self.owners.changed(&self.table, &Merged::default(), &[], now);
-        self.entries_may_prove(&[id], now);
+        self.check_entries_for_crashes(&[id], now);
     }
 
     /// Starts the pause that an endpoint asked for; returns its end if it is new.
     ///
     /// Requests and owners share it: the pause is for this gateway, not for the part of it that
     /// sent the request.
-    fn paused(
+    fn start_pause(
         &mut self,
         endpoint: &Arc<Endpoint>,
         backoff: Backoff,
@@ -138,7 +139,7 @@
     }
 
     /// Removes departures from the table that are no longer kept.
-    fn forget_departed(&mut self) {
+    fn prune_departures(&mut self) {
         let departures = &self.departures;
         self.table.forget_departed(|departure| departures.has(departure));
     }
@@ -152,7 +153,7 @@
     }
 
     /// Returns the departures to send with the next heartbeat, and removes expired ones.
-    pub(super) fn news_of_departures(&mut self, now: Timestamp) -> Vec<Departure> {
+    pub(super) fn departure_updates(&mut self, now: Timestamp) -> Vec<Departure> {
         if self.departures.is_empty() {
             return Vec::new();
         }
@@ -162,12 +163,12 @@
             endpoint.is_some_and(|e| e.incarnation == departure.incarnation)
         };
         if self.departures.forget(is_listed, now) {
-            self.forget_departed();
+            self.prune_departures();
         }
         let mut departures = std::mem::take(&mut self.departures);
-        let news = departures.news(|departure| self.is_listed_as_leaving(departure));
+        let updates = departures.news(|departure| self.is_listed_as_leaving(departure));
         self.departures = departures;
-        news
+        updates
     }
 
     /// Departures to send to a peer that is new.
@@ -180,18 +181,18 @@
     pub(super) fn probe_unless_paused(&mut self, endpoint: Arc<Endpoint>, now: Timestamp) {
         match self.backoffs.until(&endpoint, now) {
             Some(until) => {
-                self.later_probes.insert(endpoint.id.clone(), (until, endpoint));
+                self.deferred_probes.insert(endpoint.id.clone(), (until, endpoint));
             }
             None => self.out.push(Action::Probe(endpoint)),
         }
     }
 
     /// Sends deferred probes whose pauses are over.
-    pub(super) fn probe_later_ones(&mut self, now: Timestamp) {
-        if self.later_probes.is_empty() {
+    pub(super) fn send_deferred_probes(&mut self, now: Timestamp) {
+        if self.deferred_probes.is_empty() {
             return;
         }
-        let due = self.later_probes.extract_if(.., |_, (until, _)| now >= *until);
+        let due = self.deferred_probes.extract_if(.., |_, (until, _)| now >= *until);
         let due: Vec<Arc<Endpoint>> = due.map(|(_, (_, endpoint))| endpoint).collect();
         for endpoint in due {
             self.probe_unless_paused(endpoint, now);
--- a/src/direct/peer_messages.rs
+++ b/src/direct/peer_messages.rs
@@ -21,7 +21,7 @@
     /// Whether this gateway accepts a job that a peer or itself submits. A job that it already has
     /// is always accepted; while the process stops, a new one only if its stages can end before the
     /// process does.
-    fn takes_job(&self, job: &Job, from: SocketAddr, now: Timestamp) -> bool {
+    fn accepts_job(&self, job: &Job, from: SocketAddr, now: Timestamp) -> bool {
         if self.owners.has(&job.id) {
             return true;
         }
@@ -30,7 +30,12 @@
         self.documents.is_complete() && (is_own || self.requests.is_open(now) && can_end())
     }
 
-    pub(super) fn on_peer(&mut self, from: SocketAddr, message: PeerMessage, now: Timestamp) {
+    pub(super) fn on_peer_message(
+        &mut self,
+        from: SocketAddr,
+        message: PeerMessage,
+        now: Timestamp,
+    ) {
         match message {
             PeerMessage::Gossip {
                 members,
@@ -44,16 +49,16 @@
                 era,
             } => {
                 self.observe_peer_era(from, era);
-                self.met(from, complete);
+                self.peer_answered(from, complete);
                 let seen = Seen { endpoints: self.eras.adopt(seen.endpoints), ..seen };
-                self.evacuations_told(from, &evacuations, now);
-                self.departures_told(from, departures, now);
-                self.limits_told(from, &limits, now);
+                self.evacuations_received(from, &evacuations, now);
+                self.departures_received(from, departures, now);
+                self.limits_received(from, &limits, now);
                 self.owners.told_usage(from, usage, &self.table);
                 self.requests.told_lateness(from, late, now);
                 let heard = self.members.hear(&members, now);
                 for member in heard.ended {
-                    self.peer_lost(member.address, member.incarnation, "restarted", now);
+                    self.peer_down(member.address, member.incarnation, "restarted", now);
                 }
                 // A gateway that starts receives the members at once, not with the next heartbeat.
                 let newly_heard = heard.alive.iter().any(|m| m.address == from);
@@ -66,11 +71,11 @@
                     });
                 }
                 if newly_heard {
-                    self.ask_suspects_soon(now);
+                    self.request_suspects_soon(now);
                     let message = self.gossip(self.all_departures(), self.limits.all(now), now);
-                    self.tell(from, message);
+                    self.send(from, message);
                 }
-                self.pulls.told(from, seen, complete, self.own(), now);
+                self.pulls.told(from, seen, complete, self.pull_state(), now);
             }
             PeerMessage::Pull { seen, configuration, number } => {
                 self.on_pull(from, seen, configuration.then_some(number));
@@ -84,7 +89,7 @@
                 let listed_at = complete.then_some(Position::new(era, seen));
                 self.on_documents(from, documents, listed_at, now);
             }
-            PeerMessage::Submit(job) if self.takes_job(&job, from, now) => {
+            PeerMessage::Submit(job) if self.accepts_job(&job, from, now) => {
                 self.owners.submit(*job, &self.table, now);
             }
             PeerMessage::Submit(job) => self.refuse_job(job.id, from),
@@ -94,11 +99,11 @@
                 self.requests.stage_done(job, from, stage, results);
             }
             PeerMessage::Ready(job) => self.requests.ready(job, from, &self.table, now),
-            PeerMessage::Suspects(accounts) => self.suspects_told(from, &accounts, now),
-            PeerMessage::AskSuspects(digest) => self.suspects_asked(from, digest, now),
+            PeerMessage::Suspects(accounts) => self.suspects_received(from, &accounts, now),
+            PeerMessage::AskSuspects(digest) => self.suspects_requested(from, digest, now),
             PeerMessage::AskPermit { number, limit, priority, wait } => {
                 let asker = Asker { gateway: from, number };
-                self.permit_asked(asker, &limit, priority, wait, now);
+                self.permit_requested(asker, &limit, priority, wait, now);
             }
             PeerMessage::Permit { number, given, retry_after } => {
                 self.permit_decided(from, number, given, retry_after, now);
@@ -111,24 +116,24 @@
     }
 
     /// Records that a peer responded; one peer with a complete state is enough to become ready.
-    fn met(&mut self, from: SocketAddr, complete: bool) {
+    fn peer_answered(&mut self, from: SocketAddr, complete: bool) {
         if complete {
-            self.unmet.clear();
+            self.unanswered_peers.clear();
         } else {
-            self.unmet.remove(&from);
+            self.unanswered_peers.remove(&from);
         }
     }
 
     pub(super) fn on_unreachable(&mut self, address: SocketAddr, now: Timestamp) {
-        self.unmet.remove(&address);
+        self.unanswered_peers.remove(&address);
         if let Some(incarnation) = self.members.life(address)
             && self.members.broke(address, incarnation, now)
         {
-            self.peer_lost(address, incarnation, "unreachable", now);
+            self.peer_down(address, incarnation, "unreachable", now);
         }
     }
 
-    pub(super) fn peer_lost(
+    pub(super) fn peer_down(
         &mut self,
         address: SocketAddr,
         incarnation: u64,
@@ -143,11 +148,11 @@
         self.owners.release_all_of(address, incarnation, &self.table);
         self.owners.owner_lost(address, now);
         self.requests.owner_lost(address, incarnation);
-        self.limiter_lost(address, now);
+        self.limiter_down(address, now);
     }
 
     /// Handles a peer's greeting, which names its build.
-    pub(super) fn greeted(&mut self, address: SocketAddr, incarnation: u64, build: &Build) {
+    pub(super) fn on_greeting(&mut self, address: SocketAddr, incarnation: u64, build: &Build) {
         match self.builds.greeted(address, incarnation, build) {
             Greeted::AsBefore => {}
             Greeted::Other => self.log_build(address, incarnation, build, "first"),
@@ -170,7 +175,12 @@
     /// Handles a peer's message that this build can't read. A gateway that submitted a job learns
     /// at once that the job is not accepted here. Other lost messages are sent again: an unknown
     /// form ends the connection, and a new greeting follows.
-    pub(super) fn unread(&mut self, from: SocketAddr, announced_form: u32, unread: Unread) {
+    pub(super) fn on_unreadable_message(
+        &mut self,
+        from: SocketAddr,
+        announced_form: u32,
+        unread: Unread,
+    ) {
         let (form, cause) = match unread {
             Unread::Form(form) => (form, "unknown form"),
             Unread::Message { .. } => (announced_form, "unknown message"),
@@ -186,7 +196,7 @@
     /// Refuses a job, so that its gateway submits it elsewhere.
     fn refuse_job(&mut self, job: JobId, to: SocketAddr) {
         let (reason, untouched, retry_after) = (JobReason::NotOwner, true, Duration::ZERO);
-        self.tell(to, PeerMessage::GivenUp { job, reason, untouched, retry_after });
+        self.send(to, PeerMessage::GivenUp { job, reason, untouched, retry_after });
     }
 
     fn gossip(
@@ -208,21 +218,21 @@
         }
     }
 
-    pub(super) fn beat(&mut self, now: Timestamp) {
+    pub(super) fn send_heartbeat(&mut self, now: Timestamp) {
         let to = self.members.beat(&mut self.rng);
-        let departures = self.news_of_departures(now);
-        let limits = self.news_of_limits(now);
+        let departures = self.departure_updates(now);
+        let limits = self.limit_updates(now);
         let message = self.gossip(departures, limits, now);
-        self.tell_suspects(&to, now);
+        self.exchange_suspects(&to, now);
         self.out.push(Action::Broadcast { to, message });
     }
 
     /// Sends to a peer whose connection failed. If the peer is down, the attempt shows that it is
     /// unreachable. If it is up, messages in transit may be lost, so the jobs that it has of this
     /// gateway are submitted to it again.
-    pub(super) fn probe(&mut self, address: SocketAddr, now: Timestamp) {
+    pub(super) fn probe_peer(&mut self, address: SocketAddr, now: Timestamp) {
         let message = self.gossip(Vec::new(), Vec::new(), now);
-        self.tell(address, message);
+        self.send(address, message);
         self.requests.submit_again(address);
     }
 }
--- a/src/direct/poison_detection.rs
+++ b/src/direct/poison_detection.rs
@@ -23,15 +23,15 @@
 /// Interval at which one random peer is asked for suspects that this gateway lacks. A gateway that
 /// missed updates, because it was cut off or not started yet, gets them in time. The message is a
 /// digest of ten bytes where nothing differs.
-const ASKED_EVERY: Duration = Duration::from_secs(2);
+const SUSPECTS_REQUEST_INTERVAL: Duration = Duration::from_secs(2);
 
 impl GatewayCore {
     /// Handles the result of a run that requests or owners report.
-    pub(super) fn poison_reported(&mut self, report: Report, now: Timestamp) {
+    pub(super) fn on_poison_report(&mut self, report: Report, now: Timestamp) {
         match report {
             Report::Unanswered { endpoint, runs, how } => {
                 let verdict = self.broken.unanswered(&endpoint, &runs, how, &self.table, now);
-                self.follow(verdict, now);
+                self.apply_verdict(verdict, now);
             }
             Report::Succeeded(fingerprint) => {
                 self.successes.ran(fingerprint, now);
@@ -52,11 +52,11 @@
         }
         let quarantined = Arc::make_mut(&mut self.suspects).clear(fingerprint, now);
         self.log(LogEvent::Cleared { fingerprint: fingerprint.to_string() });
-        self.hand_out_suspects(quarantined, "own", now);
+        self.share_suspects(quarantined, "own", now);
     }
 
     /// Handles the result of an endpoint's probe.
-    pub(super) fn probed(
+    pub(super) fn on_probed(
         &mut self,
         endpoint: &Name,
         incarnation: u64,
@@ -64,10 +64,10 @@
         now: Timestamp,
     ) {
         let verdict = self.broken.probed(endpoint, incarnation, is_closed, now);
-        self.follow(verdict, now);
+        self.apply_verdict(verdict, now);
     }
 
-    fn follow(&mut self, verdict: Verdict, now: Timestamp) {
+    fn apply_verdict(&mut self, verdict: Verdict, now: Timestamp) {
         match verdict {
             Verdict::Crashed(crashed) => self.endpoints_crashed(vec![crashed], now),
             Verdict::Probe(endpoint) => self.probe_unless_paused(endpoint, now),
@@ -76,7 +76,7 @@
     }
 
     /// Checks changed endpoint entries for evidence of a crash.
-    pub(super) fn entries_may_prove(&mut self, ids: &[Name], now: Timestamp) {
+    pub(super) fn check_entries_for_crashes(&mut self, ids: &[Name], now: Timestamp) {
         let documents = &self.documents;
         let is_gone = |id: &str| documents.state(id) == EntryState::Gone;
         let crashed = self.broken.changed(ids, &self.table, is_gone, now);
@@ -100,35 +100,40 @@
                 suspects: rounds.collect(),
             });
         }
-        self.hand_out_suspects(quarantined, "own", now);
-        self.next_beat = Timestamp::ZERO;
+        self.share_suspects(quarantined, "own", now);
+        self.next_heartbeat = Timestamp::ZERO;
     }
 
     /// Merges the suspects that a peer sent.
-    pub(super) fn suspects_told(&mut self, from: SocketAddr, told: &[Account], now: Timestamp) {
-        let crashed = self.broken.told(told, now);
-        let news = told.iter().filter(|account| self.suspects.is_news(account, now));
-        let news: Vec<Account> = news.cloned().collect();
-        if !news.is_empty() {
-            let mut quarantined = Arc::make_mut(&mut self.suspects).told(&news, now);
-            let told = news.iter().map(|account| account.fingerprint);
-            let well: Vec<_> = told.filter(|f| self.successes.has(*f, now)).collect();
-            quarantined.retain(|c| !well.contains(&c.fingerprint));
-            self.hand_out_suspects(quarantined, &from.to_string(), now);
-            well.into_iter().for_each(|fingerprint| self.clear(fingerprint, now));
+    pub(super) fn suspects_received(
+        &mut self,
+        from: SocketAddr,
+        accounts: &[Account],
+        now: Timestamp,
+    ) {
+        let crashed = self.broken.told(accounts, now);
+        let updates = accounts.iter().filter(|account| self.suspects.is_news(account, now));
+        let updates: Vec<Account> = updates.cloned().collect();
+        if !updates.is_empty() {
+            let mut quarantined = Arc::make_mut(&mut self.suspects).told(&updates, now);
+            let fingerprints = updates.iter().map(|account| account.fingerprint);
+            let succeeded: Vec<_> = fingerprints.filter(|f| self.successes.has(*f, now)).collect();
+            quarantined.retain(|c| !succeeded.contains(&c.fingerprint));
+            self.share_suspects(quarantined, &from.to_string(), now);
+            succeeded.into_iter().for_each(|fingerprint| self.clear(fingerprint, now));
         }
         self.endpoints_crashed(crashed, now);
     }
 
     /// Responds to a peer that asks for suspects, unless its digest is the same.
-    pub(super) fn suspects_asked(&mut self, from: SocketAddr, digest: u64, now: Timestamp) {
+    pub(super) fn suspects_requested(&mut self, from: SocketAddr, digest: u64, now: Timestamp) {
         if digest != self.suspects.digest() {
-            self.tell(from, PeerMessage::Suspects(self.suspects.accounts(now)));
+            self.send(from, PeerMessage::Suspects(self.suspects.accounts(now)));
         }
     }
 
     /// Distributes the current suspects to requests and owners.
-    fn hand_out_suspects(&mut self, quarantined: Vec<Quarantined>, source: &str, now: Timestamp) {
+    fn share_suspects(&mut self, quarantined: Vec<Quarantined>, source: &str, now: Timestamp) {
         for Quarantined { fingerprint, endpoints } in &quarantined {
             let (fingerprint, endpoints) = (fingerprint.to_string(), endpoints.clone());
             let source = source.to_owned();
@@ -142,29 +147,29 @@
 
     /// Sends suspect updates with a heartbeat to the same peers, removes expired suspects, and asks
     /// a random peer for its suspects when that is due.
-    pub(super) fn tell_suspects(&mut self, to: &[SocketAddr], now: Timestamp) {
+    pub(super) fn exchange_suspects(&mut self, to: &[SocketAddr], now: Timestamp) {
         self.broken.forget(now);
         if self.suspects.is_outdated(now) {
             Arc::make_mut(&mut self.suspects).forget(now);
-            self.hand_out_suspects(Vec::new(), "own", now);
+            self.share_suspects(Vec::new(), "own", now);
         }
         if self.suspects.has_news() {
-            let news = Arc::make_mut(&mut self.suspects).news(now);
-            let message = PeerMessage::Suspects(news);
+            let updates = Arc::make_mut(&mut self.suspects).news(now);
+            let message = PeerMessage::Suspects(updates);
             self.out.push(Action::Broadcast { to: to.to_vec(), message });
         }
-        if now >= self.next_ask
+        if now >= self.next_suspects_request
             && let Some(peer) = self.members.alive().choose(&mut self.rng)
         {
             let to = peer.address;
-            self.next_ask = now + ASKED_EVERY;
-            self.tell(to, PeerMessage::AskSuspects(self.suspects.digest()));
+            self.next_suspects_request = now + SUSPECTS_REQUEST_INTERVAL;
+            self.send(to, PeerMessage::AskSuspects(self.suspects.digest()));
         }
     }
 
     /// Asks a peer for suspects with the next heartbeat: a peer is new or back, and either side may
     /// have missed updates.
-    pub(super) fn ask_suspects_soon(&mut self, now: Timestamp) {
-        self.next_ask = self.next_ask.min(now + HEARTBEAT);
+    pub(super) fn request_suspects_soon(&mut self, now: Timestamp) {
+        self.next_suspects_request = self.next_suspects_request.min(now + HEARTBEAT);
     }
 }
--- a/src/direct/publication.rs
+++ b/src/direct/publication.rs
@@ -21,32 +21,32 @@
 
 /// Minimum wait of a watch of the publisher's store. A change that a silent connection does not
 /// deliver is read by the next watch, soon enough even if all connections fall silent at once.
-const SHORTEST_WATCH: Duration = Duration::from_secs(2);
+const MIN_WATCH: Duration = Duration::from_secs(2);
 /// Average interval between the ends of two watches of a large group of gateways. The first gateway
 /// whose new watch returns a change sends it to all others.
-const WATCH_ENDS: Duration = Duration::from_millis(250);
+const WATCH_INTERVAL: Duration = Duration::from_millis(250);
 /// Minimum delay between a watch that returned changes and the next one. Endpoints write their
 /// entries one after the other, and each watch is a call with a cost, so changes accumulate for
 /// this long.
 pub const SHORTEST_GATHER: Duration = Duration::from_millis(250);
 /// Average interval at which the gateways of a large group resume watching after a change; the
-/// first one sends the changes since to the others. Beyond 133 gateways, where [`LONGEST_WATCH`]
+/// first one sends the changes since to the others. Beyond 133 gateways, where [`MAX_WATCH`]
 /// caps the delay, the number of calls grows with the number of gateways.
-const GATHER_ENDS: Duration = Duration::from_millis(60);
+const GATHER_INTERVAL: Duration = Duration::from_millis(60);
 /// Random delay before a reread of the store in a new era, per gateway, since all gateways reread
 /// everything.
-const REREAD_EACH: Duration = Duration::from_millis(4);
+const REREAD_DELAY_PER_GATEWAY: Duration = Duration::from_millis(4);
 /// Maximum random delay before a reread of the store in a new era.
-const LONGEST_REREAD: Duration = Duration::from_secs(1);
+const MAX_REREAD_DELAY: Duration = Duration::from_secs(1);
 /// Maximum wait of a watch; long, since each watch is a call with a cost.
-const LONGEST_WATCH: Duration = Duration::from_secs(8);
+const MAX_WATCH: Duration = Duration::from_secs(8);
 
 impl GatewayCore {
     /// How long a watch of the publisher's store waits. With 28 gateways, whose watches end at
     /// random times every 7 s, no gateway starts a new watch within 2.3 s in one of 70,000 cases.
     pub fn watch_wait(&self) -> Duration {
         let watching = self.members.alive().count() as u32 + 1;
-        (WATCH_ENDS * watching).clamp(SHORTEST_WATCH, LONGEST_WATCH)
+        (WATCH_INTERVAL * watching).clamp(MIN_WATCH, MAX_WATCH)
     }
 
     /// Range of the random delay between a watch that returned a change of the endpoint list and
@@ -55,18 +55,18 @@
     /// on a quiet day, and 4,051 when all of them resumed after 250 ms.
     pub fn gather_within(&self) -> RangeInclusive<Duration> {
         let watching = self.members.alive().count() as u32 + 1;
-        SHORTEST_GATHER..=(GATHER_ENDS * watching).clamp(SHORTEST_GATHER, LONGEST_WATCH)
+        SHORTEST_GATHER..=(GATHER_INTERVAL * watching).clamp(SHORTEST_GATHER, MAX_WATCH)
     }
 
     /// Maximum of the random delay before this gateway rereads the store for an era that a peer
     /// reported.
     pub fn reread_within(&self) -> Duration {
         let watching = self.members.alive().count() as u32 + 1;
-        (REREAD_EACH * watching).min(LONGEST_REREAD)
+        (REREAD_DELAY_PER_GATEWAY * watching).min(MAX_REREAD_DELAY)
     }
 
     /// Merges documents from the publisher's store, or the complete list at `snapshot_at`.
-    pub(super) fn published(
+    pub(super) fn on_published(
         &mut self,
         documents: Vec<Revised>,
         snapshot_at: Option<Position>,
@@ -80,7 +80,7 @@
         let merged = match snapshot_at {
             Some(at) => {
                 self.observe_era(at.era, PUBLISHER);
-                self.merge_whole(documents, at, PUBLISHER, now)
+                self.merge_snapshot(documents, at, PUBLISHER, now)
             }
             None => self.documents.merge(documents, now),
         };
@@ -88,7 +88,7 @@
     }
 
     /// Handles a long or failed read of the publisher's store.
-    pub(super) fn store_read(&mut self, read: &StoreRead) {
+    pub(super) fn on_store_read(&mut self, read: &StoreRead) {
         // A complete read is followed by its documents, which end the read; only a failed one ends
         // here.
         if read.subject == StoreRead::CONFIGURATION && read.outcome != StoreRead::WHOLE {
@@ -133,7 +133,7 @@
         let merged = match listed_at {
             Some(at) if own.era < at.era => {
                 self.observe_era(at.era, &source);
-                self.merge_whole(documents, at, &source, now)
+                self.merge_snapshot(documents, at, &source, now)
             }
             _ => self.documents.merge(documents, now),
         };
@@ -152,7 +152,7 @@
     }
 
     /// State of this gateway's documents, from which pulls are derived.
-    pub(super) fn own(&self) -> Own {
+    pub(super) fn pull_state(&self) -> Own {
         Own {
             seen: self.documents.seen(),
             complete: self.documents.is_complete(),
@@ -171,13 +171,13 @@
         let (deployment, endpoints) = (newer.is_some(), documents.len());
         self.log(LogEvent::Pulled { peer: from, deployment, endpoints });
         let Position { era, revision: seen } = self.documents.seen().endpoints;
-        self.tell(from, PeerMessage::Documents { documents, complete, seen, era });
+        self.send(from, PeerMessage::Documents { documents, complete, seen, era });
         match newer {
             Some((Position { era, revision }, deployment)) => {
                 let pull = configuration.unwrap_or_default();
-                self.tell(from, PeerMessage::Configuration { revision, deployment, pull, era });
+                self.send(from, PeerMessage::Configuration { revision, deployment, pull, era });
             }
-            None if configuration.is_some() => self.tell(from, PeerMessage::NoConfiguration),
+            None if configuration.is_some() => self.send(from, PeerMessage::NoConfiguration),
             None => {}
         }
     }
@@ -198,13 +198,13 @@
     /// Logs that a newer configuration is in force, and since when a peer had announced it.
     pub(super) fn log_configured(&mut self, before: u64, source: &str, now: Timestamp) {
         let version = self.documents.deployment().version;
-        let told = self.pulls.configured(version, now);
+        let announced = self.pulls.configured(version, now);
         self.log(LogEvent::Configured {
             version,
             before,
             source: source.to_owned(),
-            known_ms: told.map_or(0, |t| ms(now.saturating_sub(t.at))),
-            known_from: told.map(|t| t.peer),
+            known_ms: announced.map_or(0, |t| ms(now.saturating_sub(t.at))),
+            known_from: announced.map(|t| t.peer),
         });
     }
 
@@ -213,7 +213,7 @@
     /// store.
     pub(super) fn merged(&mut self, merged: &Merged, source: &str, spread: bool, now: Timestamp) {
         for life in &merged.leaving_on {
-            self.departed(life.clone(), source, now);
+            self.on_departure(life.clone(), source, now);
         }
         if let Some(before) = merged.deployment {
             self.log_configured(before, source, now);
@@ -250,9 +250,9 @@
         }
         self.requests.changed(&self.table, merged, &entered, now);
         self.owners.changed(&self.table, merged, &entered, now);
-        self.entries_may_prove(&merged.endpoints, now);
+        self.check_entries_for_crashes(&merged.endpoints, now);
         if spread {
-            self.next_beat = Timestamp::ZERO;
+            self.next_heartbeat = Timestamp::ZERO;
         }
     }
 
@@ -274,22 +274,22 @@
             self.log(LogEvent::Unreadable { key, cause: "too many orders to evacuate".to_owned() });
         }
         if self.evacuations_merged(evacuations, PUBLISHER, now) {
-            self.next_beat = Timestamp::ZERO;
+            self.next_heartbeat = Timestamp::ZERO;
         }
     }
 
     /// Merges the evacuation orders that a peer knows.
-    pub(super) fn evacuations_told(
+    pub(super) fn evacuations_received(
         &mut self,
         from: SocketAddr,
-        told: &Evacuations,
+        received: &Evacuations,
         now: Timestamp,
     ) {
-        if *told == self.evacuations {
+        if *received == self.evacuations {
             return;
         }
         let mut evacuations = self.evacuations.clone();
-        evacuations.merge(&told.adopted(&self.eras));
+        evacuations.merge(&received.adopted(&self.eras));
         self.evacuations_merged(evacuations, &from.to_string(), now);
     }
 
@@ -297,29 +297,29 @@
     fn evacuations_merged(&mut self, known: Evacuations, source: &str, now: Timestamp) -> bool {
         self.unconfirmed.changed(&self.evacuated, &self.evacuations, &known, now);
         self.evacuations = known;
-        self.obey_orders(source, now)
+        self.apply_orders(source, now)
     }
 
     /// Lifts orders from before an era that were not written again in time: they count as
     /// withdrawn.
     pub(super) fn confirm_orders(&mut self, now: Timestamp) {
         if self.unconfirmed.expire(now) {
-            self.obey_orders("not confirmed", now);
+            self.apply_orders("not confirmed", now);
         }
     }
 
     /// Applies the orders that are in force and confirmed; returns whether that changed anything.
-    fn obey_orders(&mut self, source: &str, now: Timestamp) -> bool {
+    fn apply_orders(&mut self, source: &str, now: Timestamp) -> bool {
         let standing = self.unconfirmed.in_force(self.evacuations.standing());
         let before = std::mem::replace(&mut self.evacuated, standing.clone());
         if before == standing {
             return false;
         }
         for data_centre in &before ^ &standing {
-            let there = self.documents.endpoints().filter(|e| e.data_centre == data_centre);
+            let affected = self.documents.endpoints().filter(|e| e.data_centre == data_centre);
             self.log(LogEvent::Evacuation {
                 stands: standing.contains(&data_centre),
-                endpoints: there.count(),
+                endpoints: affected.count(),
                 data_centre,
                 source: source.to_owned(),
             });
@@ -334,20 +334,20 @@
     }
 
     /// Pulls documents that peers have and this gateway lacks.
-    pub(super) fn catch_up(&mut self, now: Timestamp) {
-        let own = self.own();
+    pub(super) fn pull_missing_documents(&mut self, now: Timestamp) {
+        let own = self.pull_state();
         let due = self.pulls.due(own, &self.members, &mut self.rng, now);
         for peer in due.silent {
             self.log_pull(peer, "silent");
         }
         let seen = if own.complete { own.seen } else { Seen::default() };
         if let Some(peer) = due.list {
-            self.tell(peer, PeerMessage::Pull { seen, configuration: false, number: 0 });
+            self.send(peer, PeerMessage::Pull { seen, configuration: false, number: 0 });
         }
         if let Some((peer, number)) = due.configuration {
             self.log_pull(peer, "asked");
             let (seen, configuration) = (own.seen, true);
-            self.tell(peer, PeerMessage::Pull { seen, configuration, number });
+            self.send(peer, PeerMessage::Pull { seen, configuration, number });
         }
     }
 }
--- a/src/direct/rate_limits.rs
+++ b/src/direct/rate_limits.rs
@@ -20,13 +20,13 @@
 
 /// A process that has just started knows too few members to issue permits: a heartbeat reaches 100
 /// gateways in four rounds of 200 ms.
-const GATHERING: Duration = Duration::from_millis(1_500);
+const STARTUP_DELAY: Duration = Duration::from_millis(1_500);
 /// How long a permit is valid; the connection for its message may have to be established first.
-const PERMIT_KEPT: Duration = Duration::from_millis(300);
+const PERMIT_VALIDITY: Duration = Duration::from_millis(300);
 
 impl GatewayCore {
     /// Handles the rate limit in a response, or its absence; returns whether the limit changed.
-    pub(super) fn limit_stated(
+    pub(super) fn on_limit_status(
         &mut self,
         endpoint: &Endpoint,
         limit: RateLimit,
@@ -44,8 +44,13 @@
     }
 
     /// Merges rate limits that a peer sent.
-    pub(super) fn limits_told(&mut self, from: SocketAddr, told: &[LimitTold], now: Timestamp) {
-        for account in told {
+    pub(super) fn limits_received(
+        &mut self,
+        from: SocketAddr,
+        limits: &[LimitTold],
+        now: Timestamp,
+    ) {
+        for account in limits {
             if self.limits.is_superseded_by(account) {
                 Arc::make_mut(&mut self.limits).told(account, now);
                 self.limit_changed(account, &from.to_string(), now);
@@ -70,7 +75,7 @@
             source: source.to_owned(),
         });
         self.share_limits(now);
-        self.serve_permits(Some(&life), now);
+        self.issue_permits(Some(&life), now);
     }
 
     fn set_gate(&mut self, (endpoint, incarnation): &Life, is_limited: bool) {
@@ -85,7 +90,7 @@
     }
 
     /// Returns the limits to send with the next heartbeat, and removes expired ones.
-    pub(super) fn news_of_limits(&mut self, now: Timestamp) -> Vec<LimitTold> {
+    pub(super) fn limit_updates(&mut self, now: Timestamp) -> Vec<LimitTold> {
         if !self.limits.is_due(now) {
             return Vec::new();
         }
@@ -95,74 +100,74 @@
         };
         let limits = Arc::make_mut(&mut self.limits);
         let forgotten = limits.forget(is_listed, now);
-        let news = limits.news();
-        self.no_longer_limited(&forgotten, now);
-        news
+        let updates = limits.news();
+        self.lift_limits(&forgotten, now);
+        updates
     }
 
     /// Lifts the need for permits for endpoints without a limit.
-    fn no_longer_limited(&mut self, lives: &[Life], now: Timestamp) {
+    fn lift_limits(&mut self, lives: &[Life], now: Timestamp) {
         if lives.is_empty() {
             return;
         }
         for life in lives {
             self.set_gate(life, false);
-            self.serve_permits(Some(life), now);
+            self.issue_permits(Some(life), now);
         }
         self.share_limits(now);
     }
 
     /// Handles what is due: permits to issue, limiters that did not respond, endpoints whose limit
     /// ended.
-    pub(super) fn look_at_permits(&mut self, now: Timestamp) {
+    pub(super) fn process_permits(&mut self, now: Timestamp) {
         for asked in self.permits.take_overdue(now) {
-            self.refused(asked, RETRY_SOON, "silent", now);
+            self.permit_refused(asked, RETRY_SOON, "silent", now);
         }
         if self.limits.next_freed().is_some_and(|at| now >= at) {
             let freed = Arc::make_mut(&mut self.limits).take_freed(now);
-            self.no_longer_limited(&freed, now);
+            self.lift_limits(&freed, now);
         }
         if self.limiter.next_wakeup().is_some_and(|at| now >= at) {
-            self.serve_permits(None, now);
+            self.issue_permits(None, now);
         }
     }
 
     /// Issues the permits that are due, also for an endpoint whose limit changed.
-    fn serve_permits(&mut self, changed: Option<&Life>, now: Timestamp) {
+    fn issue_permits(&mut self, changed: Option<&Life>, now: Timestamp) {
         if self.limiter.is_empty() {
             return;
         }
         let mut limiter = std::mem::take(&mut self.limiter);
         let decided = limiter.look(changed, |life| self.pace(life, now), RETRY_SOON, now);
         self.limiter = limiter;
-        self.tell_decided(decided);
+        self.send_decisions(decided);
     }
 
-    /// When [`Self::look_at_permits`] is due.
+    /// When [`Self::process_permits`] is due.
     pub(super) fn next_permit(&self) -> Option<Timestamp> {
         let wakeups = [self.permits.next_wakeup(), self.limiter.next_wakeup()];
         wakeups.into_iter().flatten().chain(self.limits.next_freed()).min()
     }
 
     /// Requests a permit for a message from the limiter of its endpoint.
-    pub(super) fn ask_permit(&mut self, wanted: Wanted, now: Timestamp) {
+    pub(super) fn request_permit(&mut self, wanted: Wanted, now: Timestamp) {
         let builds = &self.builds;
-        let gives = |member: &Member| builds.gives_permits(member.address);
-        let limiter = self.members.limiter(&wanted.endpoint.id, gives);
+        let issues_permits = |member: &Member| builds.gives_permits(member.address);
+        let limiter = self.members.limiter(&wanted.endpoint.id, issues_permits);
         let own = self.members.own().address;
         let account = self.limits.account(&wanted.endpoint);
         let (priority, wait) = (wanted.priority, wanted.wait);
         let (Some((limiter, _)), Some(limit)) = (limiter, account) else {
             let asked = Asked { wanted, limiter: own, at: now };
-            return self.refused(asked, RETRY_SOON, "no limiter", now);
+            return self.permit_refused(asked, RETRY_SOON, "no limiter", now);
         };
         let number = self.permits.ask(Asked { wanted, limiter, at: now });
         let message = PeerMessage::AskPermit { number, limit, priority, wait };
-        self.tell(limiter, message);
+        self.send(limiter, message);
     }
 
     /// Handles a gateway's request for a permit, which includes the limit that it knows.
-    pub(super) fn permit_asked(
+    pub(super) fn permit_requested(
         &mut self,
         asker: Asker,
         limit: &LimitTold,
@@ -170,7 +175,7 @@
         wait: Duration,
         now: Timestamp,
     ) {
-        self.limits_told(asker.gateway, std::slice::from_ref(limit), now);
+        self.limits_received(asker.gateway, std::slice::from_ref(limit), now);
         let life = (limit.endpoint.clone(), limit.incarnation);
         let decided = match self.pace(&life, now) {
             Some(pace) => {
@@ -179,7 +184,7 @@
             }
             None => vec![Decided::Refused(asker, RETRY_SOON)],
         };
-        self.tell_decided(decided);
+        self.send_decisions(decided);
     }
 
     /// Rate at which this gateway issues permits for an endpoint; `None` if it is not the
@@ -188,22 +193,22 @@
     fn pace(&self, life: &Life, now: Timestamp) -> Option<Pace> {
         let rate = self.limits.rate_of(life, now)?;
         let builds = &self.builds;
-        let gives = |member: &Member| builds.gives_permits(member.address);
-        let (limiter, settled) = self.members.limiter(&life.0, gives)?;
-        let has_gathered = self.complete_since.is_some_and(|since| now >= since + GATHERING);
+        let issues_permits = |member: &Member| builds.gives_permits(member.address);
+        let (limiter, settled) = self.members.limiter(&life.0, issues_permits)?;
+        let has_started_up = self.complete_since.is_some_and(|since| now >= since + STARTUP_DELAY);
         let has_settled = now >= settled && now >= self.resumed_at + SETTLED;
-        let is_limiter = limiter == self.members.own().address && has_gathered && has_settled;
-        is_limiter.then(|| Pace::new(rate, self.members.part_heard(gives, now)))
+        let is_limiter = limiter == self.members.own().address && has_started_up && has_settled;
+        is_limiter.then(|| Pace::new(rate, self.members.part_heard(issues_permits, now)))
     }
 
-    fn tell_decided(&mut self, decided: Vec<Decided>) {
+    fn send_decisions(&mut self, decided: Vec<Decided>) {
         for decided in decided {
             let (asker, given, retry_after) = match decided {
                 Decided::Given(asker) => (asker, true, Duration::ZERO),
                 Decided::Refused(asker, turn) => (asker, false, turn),
             };
             let number = asker.number;
-            self.tell(asker.gateway, PeerMessage::Permit { number, given, retry_after });
+            self.send(asker.gateway, PeerMessage::Permit { number, given, retry_after });
         }
     }
 
@@ -221,10 +226,10 @@
             return;
         };
         if !given {
-            return self.refused(asked, retry_after, "busy", now);
+            return self.permit_refused(asked, retry_after, "busy", now);
         }
         self.log_permit(&asked, true, None, "turn", now);
-        let until = now + PERMIT_KEPT;
+        let until = now + PERMIT_VALIDITY;
         let Wanted { endpoint, purpose, .. } = asked.wanted;
         match purpose {
             Purpose::Request { caller, number } => {
@@ -236,7 +241,13 @@
         }
     }
 
-    fn refused(&mut self, asked: Asked, turn: Duration, cause: &'static str, now: Timestamp) {
+    fn permit_refused(
+        &mut self,
+        asked: Asked,
+        turn: Duration,
+        cause: &'static str,
+        now: Timestamp,
+    ) {
         self.log_permit(&asked, false, Some(turn), cause, now);
         let at = now.saturating_add(turn);
         let Wanted { endpoint, purpose, priority, .. } = asked.wanted;
@@ -284,10 +295,10 @@
 
     /// Handles the failure of a gateway: permits requested from it are requested from another, and
     /// its own pending requests are removed.
-    pub(super) fn limiter_lost(&mut self, address: SocketAddr, now: Timestamp) {
+    pub(super) fn limiter_down(&mut self, address: SocketAddr, now: Timestamp) {
         self.limiter.lost(address);
         for asked in self.permits.take_of(address) {
-            self.refused(asked, RETRY_SOON, "lost", now);
+            self.permit_refused(asked, RETRY_SOON, "lost", now);
         }
     }
 }
--- a/src/direct/readiness.rs
+++ b/src/direct/readiness.rs
@@ -11,16 +11,17 @@
 
 /// How long a gateway that starts waits for a peer to respond before it becomes ready. The store
 /// may have been restored from an older copy, so peers may have newer documents.
-const MET_WITHIN: Duration = Duration::from_millis(150);
+const PEER_ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
 /// How long a gateway that starts waits for a newer configuration that a peer has.
-const NEWEST_WITHIN: Duration = Duration::from_millis(1_500);
+const NEWEST_DOCUMENTS_TIMEOUT: Duration = Duration::from_millis(1_500);
 impl GatewayCore {
     /// When [`Self::update_state`] stops waiting for peers to respond, or for their documents.
     pub(super) fn next_completion(&self) -> impl Iterator<Item = Timestamp> {
-        let since = self.documented_since.filter(|_| self.complete_since.is_none());
+        let since = self.documents_since.filter(|_| self.complete_since.is_none());
         since.into_iter().flat_map(|at| {
-            let waited = [MET_WITHIN, NEWEST_WITHIN].map(|patience| at + patience);
-            waited.into_iter().filter(|at| *at > self.updated_at)
+            let waited =
+                [PEER_ANSWER_TIMEOUT, NEWEST_DOCUMENTS_TIMEOUT].map(|timeout| at + timeout);
+            waited.into_iter().filter(|at| *at > self.readiness_checked_at)
         })
     }
 
@@ -31,19 +32,19 @@
 
     /// Whether a request can be decided: there is a configuration and, for a request with stages,
     /// peers and endpoints had time to report. A process that stops waits for neither.
-    pub(super) fn knows_enough(&self, incoming: &IncomingRequest, now: Timestamp) -> bool {
+    pub(super) fn can_decide(&self, incoming: &IncomingRequest, now: Timestamp) -> bool {
         let is_settled = |since: Timestamp| !incoming.has_pieces() || now >= since + self.settling;
         self.stop.is_some() || self.complete_since.is_some_and(is_settled)
     }
 
     /// Submits the requests that were held back, once they can be decided or their wait has timed
     /// out.
-    pub(super) fn look_at_early(&mut self, now: Timestamp) {
+    pub(super) fn submit_early_requests(&mut self, now: Timestamp) {
         if self.early.is_empty() {
             return;
         }
         let mut early = std::mem::take(&mut self.early);
-        let due = early.take_due(|incoming| self.knows_enough(incoming, now), now);
+        let due = early.take_due(|incoming| self.can_decide(incoming, now), now);
         self.early = early;
         let known = self.is_complete();
         for early in due {
@@ -56,13 +57,13 @@
     }
 
     pub(super) fn update_state(&mut self, now: Timestamp) {
-        self.updated_at = now;
+        self.readiness_checked_at = now;
         let draining = self.stop.is_some();
         if self.documents.is_complete() && self.complete_since.is_none() {
-            let since = *self.documented_since.get_or_insert(now);
-            let has_met = self.unmet.is_empty() || now >= since + MET_WITHIN;
-            let has_newest = !self.pulls.knows_newer() || now >= since + NEWEST_WITHIN;
-            if has_met && has_newest {
+            let since = *self.documents_since.get_or_insert(now);
+            let has_answer = self.unanswered_peers.is_empty() || now >= since + PEER_ANSWER_TIMEOUT;
+            let has_newest = !self.pulls.knows_newer() || now >= since + NEWEST_DOCUMENTS_TIMEOUT;
+            if has_answer && has_newest {
                 self.complete_since = Some(now);
             }
         }
@@ -74,12 +75,12 @@
             (false, false) => MemberState::Starting,
         };
         if self.members.set_state(state) {
-            self.next_beat = Timestamp::ZERO;
+            self.next_heartbeat = Timestamp::ZERO;
         }
         if ready != self.is_ready {
             self.is_ready = ready;
             if ready {
-                self.ask_reports(now);
+                self.request_reports(now);
             }
             self.out.push(Action::SetReady(ready));
             self.log(LogEvent::Ready { ready });
@@ -87,7 +88,7 @@
     }
 
     /// Requests load reports from the endpoints of the cells that this gateway owns.
-    fn ask_reports(&mut self, now: Timestamp) {
+    fn request_reports(&mut self, now: Timestamp) {
         let cells: Vec<_> = self.table.cells().names().cloned().collect();
         let own = self.members.own().address;
         for (cell, ranked) in self.members.owners(&cells, 1) {
--- a/src/direct/shell.rs
+++ b/src/direct/shell.rs
@@ -30,14 +30,14 @@
 use crate::message::Timestamp;
 
 /// Maximum number of stream events buffered for a slow caller.
-const WAITING_EVENTS: usize = 64;
+const EVENT_BUFFER: usize = 64;
 
 /// Queue delay or handling time of an event above which a late core is logged.
-const LATE: Duration = Duration::from_millis(200);
+const LATE_THRESHOLD: Duration = Duration::from_millis(200);
 /// Name of endpoint responses in log events.
 const ENDPOINT_ANSWER: &str = "answer of an endpoint";
 /// Minimum interval between two log events about a late core.
-const LATE_TOLD: Duration = Duration::from_secs(1);
+const LATE_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The stream was aborted; the connection to the caller is closed without a regular end, so that
 /// the caller sees that the stream is incomplete.
@@ -61,7 +61,7 @@
     events: Option<mpsc::Sender<Bytes>>,
     is_whole: Arc<AtomicBool>,
     task: Option<(u64, AbortHandle)>,
-    parked: Option<(u64, Answer)>,
+    response: Option<(u64, Answer)>,
 }
 
 type Callers = Arc<Mutex<HashMap<u64, Caller>>>;
@@ -71,13 +71,13 @@
 }
 
 /// Reports a caller that disconnects before its response is complete to the core.
-struct Guard {
+struct DisconnectGuard {
     caller: u64,
     core: Option<Handle<GatewayCore>>,
     runtime: tokio::runtime::Handle,
 }
 
-impl Drop for Guard {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if let Some(core) = self.core.take() {
             core.post(Event::CallerDisconnected { caller: self.caller }, &self.runtime);
@@ -134,11 +134,11 @@
             events: None,
             is_whole: Arc::default(),
             task: None,
-            parked: None,
+            response: None,
         };
         lock(&self.callers).insert(caller, entry);
         let runtime = tokio::runtime::Handle::current();
-        let mut guard = Guard { caller, core: Some(self.core.clone()), runtime };
+        let mut guard = DisconnectGuard { caller, core: Some(self.core.clone()), runtime };
         self.core.send(Event::Submit { caller, incoming }).await.ok()?;
         let mut reply = receiver.await.ok()?;
         if let Reply::Stream(_, body) = &mut reply {
@@ -154,7 +154,7 @@
 pub struct StreamBody {
     events: mpsc::Receiver<Bytes>,
     is_whole: Arc<AtomicBool>,
-    guard: Option<Guard>,
+    guard: Option<DisconnectGuard>,
 }
 
 impl Body for StreamBody {
@@ -180,7 +180,7 @@
 }
 
 /// One message to an endpoint and its response; reports both to the core.
-struct Conversation {
+struct EndpointExchange {
     core: Handle<GatewayCore>,
     endpoint: Arc<Endpoint>,
     asked: Asked,
@@ -190,10 +190,10 @@
     /// When the message was sent.
     sent: Option<Timestamp>,
     /// Caller and attempt of a call whose sending the core waits for.
-    awaited: Option<(u64, u64)>,
+    reported_send: Option<(u64, u64)>,
 }
 
-impl Exchange for Conversation {
+impl Exchange for EndpointExchange {
     fn goes_out(&mut self) -> bool {
         let now = self.core.now();
         if !self.gates.is_open(&self.endpoint, self.asked, self.permit, now) {
@@ -201,7 +201,7 @@
             return false;
         }
         self.sent = Some(now);
-        if let Some((caller, attempt)) = self.awaited.take() {
+        if let Some((caller, attempt)) = self.reported_send.take() {
             self.core.post(Event::CallSent { caller, attempt }, &Runtime::current());
         }
         true
@@ -233,7 +233,7 @@
     state: watch::Sender<State>,
     lines: Lines,
     gates: Gates,
-    late_told: Option<Instant>,
+    late_logged_at: Option<Instant>,
 }
 
 impl<C: EndpointClient> GatewayShell<C> {
@@ -253,17 +253,17 @@
             state: receiver,
         };
         let gates = Gates::default();
-        (Self { core, client, peers, callers, state, lines, gates, late_told: None }, gateway)
+        (Self { core, client, peers, callers, state, lines, gates, late_logged_at: None }, gateway)
     }
 
-    fn conversation(
+    fn exchange(
         &self,
         endpoint: &Arc<Endpoint>,
         asked: Asked,
         permit: Option<Timestamp>,
-    ) -> Conversation {
+    ) -> EndpointExchange {
         let (core, endpoint, gates) = (self.core.clone(), endpoint.clone(), self.gates.clone());
-        Conversation { core, endpoint, asked, gates, permit, sent: None, awaited: None }
+        EndpointExchange { core, endpoint, asked, gates, permit, sent: None, reported_send: None }
     }
 
     fn call(&self, caller: u64, attempt: u64, order: CallSpec) {
@@ -272,18 +272,19 @@
             return;
         };
         let request = entry.request.clone();
-        let (core, client, parked) = (self.core.clone(), self.client.clone(), self.callers.clone());
+        let (core, client, callers) =
+            (self.core.clone(), self.client.clone(), self.callers.clone());
         let timeout = order.timeout;
-        let mut exchange = self.conversation(&order.endpoint, Asked::Request, order.permit);
-        exchange.awaited = (!order.inputs.is_empty()).then_some((caller, attempt));
+        let mut exchange = self.exchange(&order.endpoint, Asked::Request, order.permit);
+        exchange.reported_send = (!order.inputs.is_empty()).then_some((caller, attempt));
         let task = tokio::spawn(async move {
             let called = tokio::time::timeout(timeout, client.call(order, request, exchange)).await;
             let event = match called.unwrap_or(Err(CallFailure::Silent)) {
                 Ok(answer) => {
                     let proof = answer.proof;
                     let is_open = matches!(answer.body, AnswerBody::Open(_));
-                    if let Some(entry) = lock(&parked).get_mut(&caller) {
-                        entry.parked = Some((attempt, answer));
+                    if let Some(entry) = lock(&callers).get_mut(&caller) {
+                        entry.response = Some((attempt, answer));
                     }
                     Event::Answered { caller, attempt, proof, is_open }
                 }
@@ -294,12 +295,12 @@
         entry.task = Some((attempt, task.abort_handle()));
     }
 
-    fn hang_up(&self, caller: u64, attempt: u64) {
+    fn cancel_attempt(&self, caller: u64, attempt: u64) {
         if let Some(entry) = lock(&self.callers).get_mut(&caller) {
             if let Some((_, task)) = entry.task.take_if(|(a, _)| *a == attempt) {
                 task.abort();
             }
-            entry.parked.take_if(|(a, _)| *a == attempt);
+            entry.response.take_if(|(a, _)| *a == attempt);
         }
     }
 
@@ -308,7 +309,7 @@
         let Some(entry) = callers.get_mut(&caller) else {
             return;
         };
-        let Some((_, answer)) = entry.parked.take_if(|(a, _)| *a == attempt) else {
+        let Some((_, answer)) = entry.response.take_if(|(a, _)| *a == attempt) else {
             return;
         };
         match answer.body {
@@ -320,7 +321,7 @@
             }
             AnswerBody::Open(body) => {
                 if let Some(reply) = entry.reply.take() {
-                    let (events, receiver) = mpsc::channel(WAITING_EVENTS);
+                    let (events, receiver) = mpsc::channel(EVENT_BUFFER);
                     entry.events = Some(events);
                     let is_whole = entry.is_whole.clone();
                     let stream = StreamBody { events: receiver, is_whole, guard: None };
@@ -329,8 +330,8 @@
                 let Some(events) = entry.events.clone() else {
                     return;
                 };
-                let pump = pump(caller, attempt, body, events, self.core.clone());
-                entry.task = Some((attempt, tokio::spawn(pump).abort_handle()));
+                let forwarding = forward_events(caller, attempt, body, events, self.core.clone());
+                entry.task = Some((attempt, tokio::spawn(forwarding).abort_handle()));
             }
         }
     }
@@ -353,22 +354,22 @@
         call: u64,
         endpoint: Arc<Endpoint>,
         pieces: Vec<PieceSpec>,
-        patience: Duration,
+        timeout: Duration,
         permit: Option<Timestamp>,
     ) {
         let (core, client) = (self.core.clone(), self.client.clone());
-        let exchange = self.conversation(&endpoint, Asked::Pieces, permit);
+        let exchange = self.exchange(&endpoint, Asked::Pieces, permit);
         tokio::spawn(async move {
             let called = client.batch(endpoint, pieces, exchange);
-            let called = tokio::time::timeout(patience, called).await;
+            let called = tokio::time::timeout(timeout, called).await;
             let outcome = called.unwrap_or(BatchOutcome::Failed(CallFailure::Silent));
             core.send(Event::BatchEnded { call, outcome }).await.ok();
         });
     }
 
-    fn ask_report(&self, endpoint: Arc<Endpoint>) {
+    fn request_report(&self, endpoint: Arc<Endpoint>) {
         let (core, client) = (self.core.clone(), self.client.clone());
-        let exchange = self.conversation(&endpoint, Asked::Report, None);
+        let exchange = self.exchange(&endpoint, Asked::Report, None);
         tokio::spawn(async move {
             let (id, requested_at) = (endpoint.id.clone(), core.now());
             let event = match client.report(endpoint, exchange).await {
@@ -388,14 +389,14 @@
         });
     }
 
-    fn write(&self, event: &LogEvent) {
+    fn write_log(&self, event: &LogEvent) {
         crate::metrics::log_event(event);
         self.lines.write(event);
     }
 }
 
 /// Forwards the events of a stream as they arrive, complete events only.
-async fn pump(
+async fn forward_events(
     caller: u64,
     attempt: u64,
     mut body: http_body_util::combinators::UnsyncBoxBody<Bytes, crate::direct::client::BodyError>,
@@ -436,7 +437,7 @@
     fn act(&mut self, action: Action, _core: &GatewayCore) {
         match action {
             Action::Call { caller, attempt, order } => self.call(caller, attempt, order),
-            Action::CancelAttempt { caller, attempt } => self.hang_up(caller, attempt),
+            Action::CancelAttempt { caller, attempt } => self.cancel_attempt(caller, attempt),
             Action::Deliver { caller, attempt } => self.deliver(caller, attempt),
             Action::Refuse { caller, refusal } => self.end(caller, Some(refusal), false),
             Action::EndStream { caller } => self.end(caller, None, true),
@@ -446,7 +447,7 @@
             }
             Action::FreeResults { endpoint, handles, permit } => {
                 let client = self.client.clone();
-                let exchange = self.conversation(&endpoint, Asked::Free, permit);
+                let exchange = self.exchange(&endpoint, Asked::Free, permit);
                 tokio::spawn(async move { client.free(endpoint, handles, exchange).await });
             }
             Action::BlockSends { endpoint, incarnation, until } => {
@@ -455,7 +456,7 @@
             Action::RequirePermits { endpoint, incarnation, is_limited } => {
                 self.gates.limit(endpoint, incarnation, is_limited, self.core.now());
             }
-            Action::RequestReport(endpoint) => self.ask_report(endpoint),
+            Action::RequestReport(endpoint) => self.request_report(endpoint),
             Action::Probe(endpoint) => self.probe(endpoint),
             // The core handles these itself before it returns its actions.
             Action::PoisonReport(_) | Action::RequestPermit(_) => {}
@@ -465,16 +466,18 @@
             Action::SetReady(ready) => self.state.send_modify(|s| s.ready = ready),
             Action::SetStoreEra(era) => self.state.send_modify(|s| s.store_era = era),
             Action::SetCallerLimits(limits) => self.state.send_modify(|s| s.limits = limits),
-            Action::Log(event) => self.write(&event),
+            Action::Log(event) => self.write_log(&event),
         }
     }
 
     fn handled(&mut self, waited: Duration, took: Duration) {
         crate::metrics::core_handled(waited, took);
-        if waited.max(took) < LATE || self.late_told.is_some_and(|at| at.elapsed() < LATE_TOLD) {
+        if waited.max(took) < LATE_THRESHOLD
+            || self.late_logged_at.is_some_and(|at| at.elapsed() < LATE_LOG_INTERVAL)
+        {
             return;
         }
-        self.late_told = Some(Instant::now());
-        self.write(&LogEvent::CoreLate { waited_ms: ms(waited), took_ms: ms(took) });
+        self.late_logged_at = Some(Instant::now());
+        self.write_log(&LogEvent::CoreLate { waited_ms: ms(waited), took_ms: ms(took) });
     }
 }
--- a/src/direct/stop.rs
+++ b/src/direct/stop.rs
@@ -10,22 +10,22 @@
 /// load balancer has seen that the process is not ready.
 pub const AT_LEAST: Duration = Duration::from_millis(3_400);
 /// A process ends this long before it would be killed.
-pub const BEFORE_KILL: Duration = Duration::from_millis(300);
+pub const KILL_MARGIN: Duration = Duration::from_millis(300);
 /// How long after the signal a gateway accepts requests if other gateways serve.
-const STILL_TAKING: Duration = Duration::from_millis(1_500);
+const ACCEPT_WITH_OTHERS: Duration = Duration::from_millis(1_500);
 /// Maximum time for a response to reach its caller.
-const ON_THE_WAY: Duration = Duration::from_millis(200);
+const MAX_DELIVERY: Duration = Duration::from_millis(200);
 /// Maximum expected duration of requests that are accepted after [`AT_LEAST`], while earlier
 /// requests keep the process running: its restart, which serves all callers, must not wait for
 /// them.
-const HELD_UP: Duration = Duration::from_millis(500);
+const MAX_WHEN_HELD_UP: Duration = Duration::from_millis(500);
 /// Time from the end of a process until it serves again.
 const RESTART: Duration = Duration::from_millis(1_200);
 /// Interval of the load balancer's checks: it sends no callers to a gateway that has served for
 /// less.
-const SEEN_READY: Duration = Duration::from_millis(1_000);
+const READY_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Retry delay for refused callers if other gateways serve.
-const ELSEWHERE: Duration = Duration::from_millis(100);
+const RETRY_ELSEWHERE: Duration = Duration::from_millis(100);
 
 /// Schedule of a planned stop.
 #[derive(Debug, Clone, Copy)]
@@ -57,12 +57,12 @@
 
     /// Whether a response that is complete at `at` reaches its caller before the process ends.
     pub fn is_before_end(&self, at: Timestamp) -> bool {
-        at + ON_THE_WAY <= self.ends
+        at + MAX_DELIVERY <= self.ends
     }
 
     /// Whether the schedule allows a new request whose response takes `expected`.
     pub fn takes(&self, expected: Duration, now: Timestamp) -> bool {
-        self.is_before_end(now + expected) && (now < self.may_end() || expected <= HELD_UP)
+        self.is_before_end(now + expected) && (now < self.may_end() || expected <= MAX_WHEN_HELD_UP)
     }
 
     /// Until when callers may arrive that do not know of the stop.
@@ -75,7 +75,7 @@
     /// keep it running.
     pub fn is_open(&self, others_serve: bool, is_held_up: bool, now: Timestamp) -> bool {
         if others_serve {
-            return now < self.since + STILL_TAKING;
+            return now < self.since + ACCEPT_WITH_OTHERS;
         }
         now < self.may_end() || is_held_up && now < self.ends
     }
@@ -83,13 +83,14 @@
 
 /// Maximum time from the signal to the process's own end.
 pub const fn latest(grace: Duration) -> Duration {
-    grace.saturating_sub(BEFORE_KILL)
+    grace.saturating_sub(KILL_MARGIN)
 }
 
 /// Whether callers that try again reach a gateway that serves.
 pub fn others_serve(members: &Members, now: Timestamp) -> bool {
-    let serving =
-        |s: MemberState, since: Timestamp| s == MemberState::Serving && now >= since + SEEN_READY;
+    let serving = |s: MemberState, since: Timestamp| {
+        s == MemberState::Serving && now >= since + READY_CHECK_INTERVAL
+    };
     members.others().any(|(member, since, is_alive)| is_alive && serving(member.state, since))
 }
 
@@ -100,15 +101,15 @@
 /// Earlier attempts would be refused again, and callers try only a few times.
 pub fn come_back_after(stop: &Stop, members: &Members, now: Timestamp) -> Duration {
     if others_serve(members, now) {
-        return ELSEWHERE;
+        return RETRY_ELSEWHERE;
     }
     let back = members.others().filter_map(|(member, since, is_alive)| match member.state {
-        MemberState::Serving if is_alive => Some(since + SEEN_READY),
-        MemberState::Starting if is_alive => Some(now + SEEN_READY),
+        MemberState::Serving if is_alive => Some(since + READY_CHECK_INTERVAL),
+        MemberState::Starting if is_alive => Some(now + READY_CHECK_INTERVAL),
         MemberState::Leaving if is_alive => Some(now.max(since + AT_LEAST) + RESTART),
         // A gateway that has been down for longer is not expected to serve again soon, if ever.
         _ => Some(since + RESTART).filter(|back| now <= *back),
     });
     let own = now.max(stop.may_end()) + RESTART;
-    back.fold(own, Timestamp::min).saturating_sub(now).max(ELSEWHERE)
+    back.fold(own, Timestamp::min).saturating_sub(now).max(RETRY_ELSEWHERE)
 }
--- a/src/direct/store_restore.rs
+++ b/src/direct/store_restore.rs
@@ -14,7 +14,7 @@
 use crate::message::Timestamp;
 
 /// Maximum number of endpoints that one log event names.
-const MOST_NAMED: usize = 16;
+const MAX_LOGGED_ENDPOINTS: usize = 16;
 
 impl GatewayCore {
     /// Records an era that the store or a peer named.
@@ -28,7 +28,7 @@
             let revision_before = self.documents.seen().endpoints.revision;
             let source = source.to_owned();
             self.log(LogEvent::StoreEra(StoreEra { before, revision_before, era, source }));
-            self.next_beat = Timestamp::ZERO;
+            self.next_heartbeat = Timestamp::ZERO;
         }
     }
 
@@ -40,7 +40,7 @@
     }
 
     /// Merges a complete list at a position, and logs what a new era removed and restored.
-    pub(super) fn merge_whole(
+    pub(super) fn merge_snapshot(
         &mut self,
         documents: Vec<Revised>,
         at: Position,
@@ -51,15 +51,16 @@
         let is_first = before == Position::default();
         let merged = self.documents.merge_list(documents, at, now);
         if before.era < at.era && !is_first {
-            self.log_returned(before, at, &merged, source);
+            self.log_restored(before, at, &merged, source);
         } else if at < before {
             self.log(LogEvent::StoreWentBack { revision: at.revision, seen: before.revision });
         }
         merged
     }
 
-    fn log_returned(&mut self, before: Position, at: Position, merged: &Merged, source: &str) {
-        let some = |names: &[Name]| names.iter().take(MOST_NAMED).cloned().collect::<Vec<_>>();
+    fn log_restored(&mut self, before: Position, at: Position, merged: &Merged, source: &str) {
+        let first_names =
+            |names: &[Name]| names.iter().take(MAX_LOGGED_ENDPOINTS).cloned().collect::<Vec<_>>();
         let leaving = merged.leaving_on.iter().map(|life| life.endpoint.clone());
         self.log(LogEvent::StoreReturned(StoreReturned {
             before: before.era,
@@ -67,9 +68,9 @@
             era: at.era,
             revision: at.revision,
             source: source.to_owned(),
-            leaving: leaving.take(MOST_NAMED).collect(),
-            doubted: some(&merged.doubted),
-            lacked: some(&merged.lacked),
+            leaving: leaving.take(MAX_LOGGED_ENDPOINTS).collect(),
+            doubted: first_names(&merged.doubted),
+            lacked: first_names(&merged.lacked),
         }));
     }
 
