--- a/src/direct/client.rs
+++ b/src/direct/client.rs
@@ -10,14 +10,14 @@
 use hyper::{HeaderMap, Method, StatusCode};
 
 use crate::direct::answers::{AnswerProof, BatchOutcome, BatchReport, CallFailure};
-use crate::direct::event::{CallSpec, PieceSpec};
+use crate::direct::event::{CallParams, PieceParams};
 use crate::direct::peers::message::Handle;
 use crate::direct::published::model::Endpoint;
 use crate::direct::statement::Statement;
 
 /// Caller's request as it is forwarded.
 #[derive(Debug, Clone)]
-pub struct Forwarded {
+pub struct ForwardedRequest {
     /// Method of the request.
     pub method: Method,
     /// Path and query of the request.
@@ -44,9 +44,9 @@
 #[derive(Debug)]
 pub enum AnswerBody {
     /// Complete body.
-    Whole(Bytes),
+    Complete(Bytes),
     /// Stream that is still being received.
-    Open(UnsyncBoxBody<Bytes, BodyError>),
+    Stream(UnsyncBoxBody<Bytes, BodyError>),
 }
 
 /// Response of an endpoint.
@@ -64,13 +64,13 @@
 pub trait Exchange: Send {
     /// Called when the message could be sent over an established connection; returns whether it
     /// still may be sent. If not, the call fails with [`CallFailure::Withheld`].
-    fn goes_out(&mut self) -> bool;
+    fn may_send(&mut self) -> bool;
 
     /// Called with the endpoint status headers when the response's head has been read.
-    fn states(&mut self, statement: Statement);
+    fn on_status(&mut self, statement: Statement);
 
     /// Called with the response headers that this build does not know; each is passed once.
-    fn passes_over(&mut self, headers: BTreeSet<String>);
+    fn on_unknown_headers(&mut self, headers: BTreeSet<String>);
 }
 
 /// Calls endpoints in their protocol.
@@ -78,8 +78,8 @@
     /// Calls an endpoint with a request; dropping the future closes the connection.
     fn call(
         &self,
-        order: CallSpec,
-        request: Arc<Forwarded>,
+        params: CallParams,
+        request: Arc<ForwardedRequest>,
         exchange: impl Exchange,
     ) -> impl Future<Output = Result<Answer, CallFailure>> + Send;
 
@@ -87,7 +87,7 @@
     fn batch(
         &self,
         endpoint: Arc<Endpoint>,
-        pieces: Vec<PieceSpec>,
+        pieces: Vec<PieceParams>,
         exchange: impl Exchange,
     ) -> impl Future<Output = BatchOutcome> + Send;
 
--- a/src/direct/core.rs
+++ b/src/direct/core.rs
@@ -321,7 +321,7 @@
             let stopping = Stopping {
                 stop,
                 others_serve: stop::others_serve(&self.members, now),
-                come_back_after: stop::come_back_after(&stop, &self.members, now),
+                come_back_after: stop::retry_after(&stop, &self.members, now),
             };
             self.requests.stopping(stopping, now);
         }
@@ -331,7 +331,7 @@
     fn shut_down(&mut self, now: Timestamp) {
         self.drain(now, now);
         if let Some(stop) = &mut self.stop {
-            stop.end(now);
+            stop.end_now(now);
         }
         self.update_stop(now);
         self.submit_early_requests(now);
@@ -339,7 +339,7 @@
         let own = self.members.own().address;
         self.owners.end_all(own);
         self.log(LogEvent::Stopped {
-            stopping_ms: self.stop.map_or(0, |s| ms(s.age(now))),
+            stopping_ms: self.stop.map_or(0, |s| ms(s.elapsed(now))),
             unanswered,
             streams,
             jobs: self.owners.jobs(),
--- a/src/direct/event.rs
+++ b/src/direct/event.rs
@@ -279,7 +279,7 @@
 
 /// Parameters of a request's call to an endpoint.
 #[derive(Debug, Clone, PartialEq)]
-pub struct CallSpec {
+pub struct CallParams {
     /// The endpoint.
     pub endpoint: Arc<Endpoint>,
     /// Time limit for the endpoint's response.
@@ -304,7 +304,7 @@
 
 /// One piece of a batch call.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PieceSpec {
+pub struct PieceParams {
     /// Request id given by the caller.
     pub request: Name,
     /// Index of the stage in the pipeline.
@@ -377,7 +377,7 @@
         /// Number of the new attempt.
         attempt: u64,
         /// Parameters of the call.
-        order: CallSpec,
+        params: CallParams,
     },
     /// Cancel an attempt; its endpoint stops working on it.
     CancelAttempt {
@@ -417,7 +417,7 @@
         /// The endpoint.
         endpoint: Arc<Endpoint>,
         /// Pieces of the call.
-        pieces: Vec<PieceSpec>,
+        pieces: Vec<PieceParams>,
         /// Time limit for the call.
         timeout: Duration,
         /// When the permit expires, for an endpoint with a rate limit.
--- a/src/direct/owner/filling.rs
+++ b/src/direct/owner/filling.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::direct::event::{Action, PieceSpec};
+use crate::direct::event::{Action, PieceParams};
 use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::owner::calls::{Call, PieceId};
 use crate::direct::owner::due::Due;
@@ -229,10 +229,10 @@
     taken
 }
 
-fn piece_order(run: &JobRun, stage: usize, piece: usize, now: Timestamp) -> PieceSpec {
+fn piece_order(run: &JobRun, stage: usize, piece: usize, now: Timestamp) -> PieceParams {
     let spec = &run.job.stages[stage];
     let inputs = spec.after.iter().flat_map(|&a| run.stages[a].results());
-    PieceSpec {
+    PieceParams {
         request: run.job.request.clone(),
         stage,
         piece,
--- a/src/direct/publication.rs
+++ b/src/direct/publication.rs
@@ -28,7 +28,7 @@
 /// Minimum delay between a watch that returned changes and the next one. Endpoints write their
 /// entries one after the other, and each watch is a call with a cost, so changes accumulate for
 /// this long.
-pub const SHORTEST_GATHER: Duration = Duration::from_millis(250);
+pub const MIN_GATHER: Duration = Duration::from_millis(250);
 /// Average interval at which the gateways of a large group resume watching after a change; the
 /// first one sends the changes since to the others. Beyond 133 gateways, where [`MAX_WATCH`]
 /// caps the delay, the number of calls grows with the number of gateways.
@@ -55,7 +55,7 @@
     /// on a quiet day, and 4,051 when all of them resumed after 250 ms.
     pub fn gather_within(&self) -> RangeInclusive<Duration> {
         let watching = self.members.alive().count() as u32 + 1;
-        SHORTEST_GATHER..=(GATHER_INTERVAL * watching).clamp(SHORTEST_GATHER, MAX_WATCH)
+        MIN_GATHER..=(GATHER_INTERVAL * watching).clamp(MIN_GATHER, MAX_WATCH)
     }
 
     /// Maximum of the random delay before this gateway rereads the store for an era that a peer
--- a/src/direct/requests/attempts.rs
+++ b/src/direct/requests/attempts.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::direct::answers::{AnswerProof, CallFailure};
-use crate::direct::event::{Action, CallSpec, Refused};
+use crate::direct::event::{Action, CallParams, Refused};
 use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::poison::Unanswered;
 use crate::direct::published::model::{Endpoint, Name};
@@ -98,7 +98,7 @@
         self.observations.sent(&endpoint);
         self.ramps.sent(&endpoint, now);
         self.cold.sent(&endpoint, 1, now);
-        let order = CallSpec {
+        let params = CallParams {
             endpoint,
             timeout: request.deadline.saturating_sub(now),
             organisation: request.organisation.clone(),
@@ -110,7 +110,7 @@
             connections,
             permit,
         };
-        self.out.push(Action::Call { caller, attempt: number, order });
+        self.out.push(Action::Call { caller, attempt: number, params });
     }
 
     pub(super) fn is_current(&self, caller: u64, attempt: u64) -> bool {
--- a/src/direct/requests/stopping.rs
+++ b/src/direct/requests/stopping.rs
@@ -79,7 +79,7 @@
     /// Whether new requests are looked at.
     pub fn is_open(&self, now: Timestamp) -> bool {
         self.stopping.is_none_or(|s| {
-            let is_older = |r: &Request| r.arrived < s.stop.may_end();
+            let is_older = |r: &Request| r.arrived < s.stop.earliest_end();
             let is_held_up = self.requests.values().any(is_older);
             s.stop.is_open(s.others_serve, is_held_up, now)
         })
@@ -91,7 +91,7 @@
         let Some(Stopping { stop, others_serve, .. }) = self.stopping else {
             return (true, None);
         };
-        let sure = must_be(stop.age(now), at == At::Door, request.route.streams, others_serve);
+        let sure = must_be(stop.elapsed(now), at == At::Door, request.route.streams, others_serve);
         let waits = request.deadline.saturating_sub(now);
         let (route, size) = (&request.route.name, request.size());
         let expected = self.experience.expected(route, at.rest(), size, sure);
@@ -100,7 +100,7 @@
         let expected = expected.unwrap_or(unknown) + self.stages_left(request, at, now);
         let expected = expected.min(waits);
         let taken = match at {
-            At::Door => stop.takes(expected, now),
+            At::Door => stop.accepts(expected, now),
             At::Stages | At::Dispatch => stop.is_before_end(now + expected),
         };
         let is_told = at == At::Door || !taken;
@@ -131,8 +131,8 @@
             request: request.clone(),
             at: at.as_str(),
             taken,
-            stopping_ms: ms(stop.age(now)),
-            left_ms: ms(stop.left(now)),
+            stopping_ms: ms(stop.elapsed(now)),
+            left_ms: ms(stop.remaining(now)),
             expected_ms: expected.map(ms),
             others_serve,
         })
--- a/src/direct/shell.rs
+++ b/src/direct/shell.rs
@@ -17,9 +17,11 @@
 
 use crate::actor::{Handle, Shell};
 use crate::direct::answers::{BatchOutcome, CallFailure};
-use crate::direct::client::{Answer, AnswerBody, AnswerHead, EndpointClient, Exchange, Forwarded};
+use crate::direct::client::{
+    Answer, AnswerBody, AnswerHead, EndpointClient, Exchange, ForwardedRequest,
+};
 use crate::direct::core::GatewayCore;
-use crate::direct::event::{Action, CallSpec, Event, IncomingRequest, PieceSpec, Refusal};
+use crate::direct::event::{Action, CallParams, Event, IncomingRequest, PieceParams, Refusal};
 use crate::direct::gates::Gates;
 use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::peers::links::Peers;
@@ -43,12 +45,12 @@
 /// the caller sees that the stream is incomplete.
 #[derive(Debug, Snafu)]
 #[snafu(display("the stream was aborted before its end"))]
-pub struct BrokenOff;
+pub struct StreamAborted;
 
 /// Response to a caller.
 pub enum Reply {
     /// Complete response of an endpoint.
-    Whole(AnswerHead, Bytes),
+    Complete(AnswerHead, Bytes),
     /// Head of an endpoint's response, and its stream of events.
     Stream(AnswerHead, StreamBody),
     /// Refusal by the gateway.
@@ -56,7 +58,7 @@
 }
 
 struct Caller {
-    request: Arc<Forwarded>,
+    request: Arc<ForwardedRequest>,
     reply: Option<oneshot::Sender<Reply>>,
     events: Option<mpsc::Sender<Bytes>>,
     is_whole: Arc<AtomicBool>,
@@ -125,7 +127,11 @@
     }
 
     /// Submits a request and waits for the response. Dropping the future cancels the request.
-    pub async fn submit(&self, incoming: IncomingRequest, request: Forwarded) -> Option<Reply> {
+    pub async fn submit(
+        &self,
+        incoming: IncomingRequest,
+        request: ForwardedRequest,
+    ) -> Option<Reply> {
         let caller = self.next.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = oneshot::channel();
         let entry = Caller {
@@ -159,12 +165,12 @@
 
 impl Body for StreamBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = StreamAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamAborted>>> {
         match self.events.poll_recv(context) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(Some(events)) => Poll::Ready(Some(Ok(Frame::data(events)))),
@@ -173,7 +179,7 @@
                     guard.core = None;
                 }
                 let is_whole = self.is_whole.load(Ordering::Acquire);
-                Poll::Ready(if is_whole { None } else { Some(Err(BrokenOff)) })
+                Poll::Ready(if is_whole { None } else { Some(Err(StreamAborted)) })
             }
         }
     }
@@ -194,7 +200,7 @@
 }
 
 impl Exchange for EndpointExchange {
-    fn goes_out(&mut self) -> bool {
+    fn may_send(&mut self) -> bool {
         let now = self.core.now();
         if !self.gates.is_open(&self.endpoint, self.asked, self.permit, now) {
             crate::metrics::withheld(self.asked);
@@ -207,7 +213,7 @@
         true
     }
 
-    fn states(&mut self, statement: Statement) {
+    fn on_status(&mut self, statement: Statement) {
         // For an endpoint with a known rate limit, a response without one is an update, too.
         if statement.is_empty() && !self.gates.is_limited(&self.endpoint) {
             return;
@@ -218,7 +224,7 @@
         self.core.post(event, &Runtime::current());
     }
 
-    fn passes_over(&mut self, fields: BTreeSet<String>) {
+    fn on_unknown_headers(&mut self, fields: BTreeSet<String>) {
         let event = Event::UnknownFields { document: ENDPOINT_ANSWER, fields };
         self.core.post(event, &Runtime::current());
     }
@@ -266,7 +272,7 @@
         EndpointExchange { core, endpoint, asked, gates, permit, sent: None, reported_send: None }
     }
 
-    fn call(&self, caller: u64, attempt: u64, order: CallSpec) {
+    fn call(&self, caller: u64, attempt: u64, params: CallParams) {
         let mut callers = lock(&self.callers);
         let Some(entry) = callers.get_mut(&caller) else {
             return;
@@ -274,15 +280,16 @@
         let request = entry.request.clone();
         let (core, client, callers) =
             (self.core.clone(), self.client.clone(), self.callers.clone());
-        let timeout = order.timeout;
-        let mut exchange = self.exchange(&order.endpoint, Asked::Request, order.permit);
-        exchange.reported_send = (!order.inputs.is_empty()).then_some((caller, attempt));
+        let timeout = params.timeout;
+        let mut exchange = self.exchange(&params.endpoint, Asked::Request, params.permit);
+        exchange.reported_send = (!params.inputs.is_empty()).then_some((caller, attempt));
         let task = tokio::spawn(async move {
-            let called = tokio::time::timeout(timeout, client.call(order, request, exchange)).await;
+            let called =
+                tokio::time::timeout(timeout, client.call(params, request, exchange)).await;
             let event = match called.unwrap_or(Err(CallFailure::Silent)) {
                 Ok(answer) => {
                     let proof = answer.proof;
-                    let is_open = matches!(answer.body, AnswerBody::Open(_));
+                    let is_open = matches!(answer.body, AnswerBody::Stream(_));
                     if let Some(entry) = lock(&callers).get_mut(&caller) {
                         entry.response = Some((attempt, answer));
                     }
@@ -313,13 +320,13 @@
             return;
         };
         match answer.body {
-            AnswerBody::Whole(body) => {
+            AnswerBody::Complete(body) => {
                 if let Some(reply) = entry.reply.take() {
-                    reply.send(Reply::Whole(answer.head, body)).ok();
+                    reply.send(Reply::Complete(answer.head, body)).ok();
                 }
                 callers.remove(&caller);
             }
-            AnswerBody::Open(body) => {
+            AnswerBody::Stream(body) => {
                 if let Some(reply) = entry.reply.take() {
                     let (events, receiver) = mpsc::channel(EVENT_BUFFER);
                     entry.events = Some(events);
@@ -353,7 +360,7 @@
         &self,
         call: u64,
         endpoint: Arc<Endpoint>,
-        pieces: Vec<PieceSpec>,
+        pieces: Vec<PieceParams>,
         timeout: Duration,
         permit: Option<Timestamp>,
     ) {
@@ -436,7 +443,7 @@
 impl<C: EndpointClient> Shell<GatewayCore> for GatewayShell<C> {
     fn act(&mut self, action: Action, _core: &GatewayCore) {
         match action {
-            Action::Call { caller, attempt, order } => self.call(caller, attempt, order),
+            Action::Call { caller, attempt, params } => self.call(caller, attempt, params),
             Action::CancelAttempt { caller, attempt } => self.cancel_attempt(caller, attempt),
             Action::Deliver { caller, attempt } => self.deliver(caller, attempt),
             Action::Refuse { caller, refusal } => self.end(caller, Some(refusal), false),
--- a/src/direct/stop.rs
+++ b/src/direct/stop.rs
@@ -8,14 +8,14 @@
 
 /// Minimum time from the signal to the end of the process. Callers may still be sent here until the
 /// load balancer has seen that the process is not ready.
-pub const AT_LEAST: Duration = Duration::from_millis(3_400);
+pub const MIN_DURATION: Duration = Duration::from_millis(3_400);
 /// A process ends this long before it would be killed.
 pub const KILL_MARGIN: Duration = Duration::from_millis(300);
 /// How long after the signal a gateway accepts requests if other gateways serve.
 const ACCEPT_WITH_OTHERS: Duration = Duration::from_millis(1_500);
 /// Maximum time for a response to reach its caller.
 const MAX_DELIVERY: Duration = Duration::from_millis(200);
-/// Maximum expected duration of requests that are accepted after [`AT_LEAST`], while earlier
+/// Maximum expected duration of requests that are accepted after [`MIN_DURATION`], while earlier
 /// requests keep the process running: its restart, which serves all callers, must not wait for
 /// them.
 const MAX_WHEN_HELD_UP: Duration = Duration::from_millis(500);
@@ -37,21 +37,21 @@
 impl Stop {
     /// Creates the schedule for a signal at `since`; the process is killed `grace` later.
     pub const fn new(since: Timestamp, grace: Duration) -> Self {
-        Self { since, ends: since.saturating_add(latest(grace)) }
+        Self { since, ends: since.saturating_add(max_duration(grace)) }
     }
 
     /// Time since the signal.
-    pub const fn age(&self, now: Timestamp) -> Duration {
+    pub const fn elapsed(&self, now: Timestamp) -> Duration {
         now.saturating_sub(self.since)
     }
 
     /// Time until the process ends by itself.
-    pub const fn left(&self, now: Timestamp) -> Duration {
+    pub const fn remaining(&self, now: Timestamp) -> Duration {
         self.ends.saturating_sub(now)
     }
 
     /// Moves the end of the process to now.
-    pub fn end(&mut self, now: Timestamp) {
+    pub fn end_now(&mut self, now: Timestamp) {
         self.ends = self.ends.min(now);
     }
 
@@ -61,13 +61,14 @@
     }
 
     /// Whether the schedule allows a new request whose response takes `expected`.
-    pub fn takes(&self, expected: Duration, now: Timestamp) -> bool {
-        self.is_before_end(now + expected) && (now < self.may_end() || expected <= MAX_WHEN_HELD_UP)
+    pub fn accepts(&self, expected: Duration, now: Timestamp) -> bool {
+        self.is_before_end(now + expected)
+            && (now < self.earliest_end() || expected <= MAX_WHEN_HELD_UP)
     }
 
     /// Until when callers may arrive that do not know of the stop.
-    pub fn may_end(&self) -> Timestamp {
-        self.since + AT_LEAST
+    pub fn earliest_end(&self) -> Timestamp {
+        self.since + MIN_DURATION
     }
 
     /// Whether new requests are considered. If other gateways serve, for a while after the signal.
@@ -77,12 +78,12 @@
         if others_serve {
             return now < self.since + ACCEPT_WITH_OTHERS;
         }
-        now < self.may_end() || is_held_up && now < self.ends
+        now < self.earliest_end() || is_held_up && now < self.ends
     }
 }
 
 /// Maximum time from the signal to the process's own end.
-pub const fn latest(grace: Duration) -> Duration {
+pub const fn max_duration(grace: Duration) -> Duration {
     grace.saturating_sub(KILL_MARGIN)
 }
 
@@ -97,19 +98,19 @@
 /// How long callers should wait that are refused because this process stops.
 ///
 /// Short if other gateways serve. If none does, until the first gateway is expected to serve again:
-/// a leaving one ends when nothing is in flight, but not before [`AT_LEAST`] after its signal.
+/// a leaving one ends when nothing is in flight, but not before [`MIN_DURATION`] after its signal.
 /// Earlier attempts would be refused again, and callers try only a few times.
-pub fn come_back_after(stop: &Stop, members: &Members, now: Timestamp) -> Duration {
+pub fn retry_after(stop: &Stop, members: &Members, now: Timestamp) -> Duration {
     if others_serve(members, now) {
         return RETRY_ELSEWHERE;
     }
     let back = members.others().filter_map(|(member, since, is_alive)| match member.state {
         MemberState::Serving if is_alive => Some(since + READY_CHECK_INTERVAL),
         MemberState::Starting if is_alive => Some(now + READY_CHECK_INTERVAL),
-        MemberState::Leaving if is_alive => Some(now.max(since + AT_LEAST) + RESTART),
+        MemberState::Leaving if is_alive => Some(now.max(since + MIN_DURATION) + RESTART),
         // A gateway that has been down for longer is not expected to serve again soon, if ever.
         _ => Some(since + RESTART).filter(|back| now <= *back),
     });
-    let own = now.max(stop.may_end()) + RESTART;
+    let own = now.max(stop.earliest_end()) + RESTART;
     back.fold(own, Timestamp::min).saturating_sub(now).max(RETRY_ELSEWHERE)
 }
--- a/tests/direct_backoff.rs
+++ b/tests/direct_backoff.rs
@@ -40,12 +40,12 @@
 fn a_pause_is_neither_shortened_by_what_is_answered_meanwhile_nor_ended_by_success() {
     let mut core = configured(routes());
     let actions = submit(&mut core, 1, incoming("r", Vec::new()), ms(0));
-    let (attempt, order) = calls(&actions)[0].clone();
-    says(&mut core, &order.endpoint, pause_for(ms(3 * SECONDS)), 10);
-    says(&mut core, &order.endpoint, pause_for(ms(100)), 20);
-    says(&mut core, &order.endpoint, pause_for(Duration::ZERO), 30);
+    let (attempt, params) = calls(&actions)[0].clone();
+    says(&mut core, &params.endpoint, pause_for(ms(3 * SECONDS)), 10);
+    says(&mut core, &params.endpoint, pause_for(ms(100)), 20);
+    says(&mut core, &params.endpoint, pause_for(Duration::ZERO), 30);
     core.handle(answered(attempt, good()), ms(40));
-    assert!(!gets_any(&mut core, &order.endpoint.id, 100, 2_900));
+    assert!(!gets_any(&mut core, &params.endpoint.id, 100, 2_900));
 }
 
 #[test]
@@ -105,8 +105,8 @@
     // Both turned something away, after they had served something; they turn away no more.
     for caller in 1..=2 {
         let actions = submit(&mut core, caller, incoming("r", Vec::new()), ms(0));
-        let (attempt, order) = calls(&actions)[0].clone();
-        says(&mut core, &order.endpoint, pause_for(ms(3 * SECONDS)), 1);
+        let (attempt, params) = calls(&actions)[0].clone();
+        says(&mut core, &params.endpoint, pause_for(ms(3 * SECONDS)), 1);
         core.handle(Event::Answered { caller, attempt, proof: good(), is_open: false }, ms(1));
     }
     let mut press = |first: u64, at: u64| {
@@ -161,8 +161,8 @@
         let at = round * 5 * SECONDS;
         let caller = 10 * round + 1;
         let actions = submit(&mut core, caller, incoming("r", Vec::new()), ms(at));
-        let (attempt, order) = calls(&actions)[0].clone();
-        says(&mut core, &order.endpoint, pause_for(ms(3 * SECONDS)), at + 2);
+        let (attempt, params) = calls(&actions)[0].clone();
+        says(&mut core, &params.endpoint, pause_for(ms(3 * SECONDS)), at + 2);
         let proof = AnswerProof { status: 503, not_run: true, ..AnswerProof::default() };
         let refused =
             core.handle(Event::Answered { caller, attempt, proof, is_open: false }, ms(at + 2));
@@ -177,8 +177,8 @@
 fn repeats_and_resumed_streams_keep_away(name: &str, streams: bool) {
     let mut core = configured(routes());
     let actions = submit(&mut core, 1, incoming(name, Vec::new()), ms(0));
-    let (attempt, order) = calls(&actions)[0].clone();
-    let other = if &*order.endpoint.id == "engine-1" { engine(2) } else { engine(1) };
+    let (attempt, params) = calls(&actions)[0].clone();
+    let other = if &*params.endpoint.id == "engine-1" { engine(2) } else { engine(1) };
     let failed = if streams {
         core.handle(Event::Answered { caller: 1, attempt, proof: good(), is_open: true }, ms(5));
         says(&mut core, &other, LEAVES, 10);
@@ -201,14 +201,14 @@
 fn what_was_ordered_and_did_not_go_out_goes_elsewhere_without_blame() {
     let mut core = configured(routes());
     let actions = submit(&mut core, 1, incoming("r", Vec::new()), ms(0));
-    let (attempt, order) = calls(&actions)[0].clone();
-    let actions = says(&mut core, &order.endpoint, pause_for(ms(SECONDS)), 10);
+    let (attempt, params) = calls(&actions)[0].clone();
+    let actions = says(&mut core, &params.endpoint, pause_for(ms(SECONDS)), 10);
     let withheld = |a: &Action| matches!(a, Action::BlockSends { until: Some(_), .. });
     assert!(actions.iter().any(withheld));
     let failure = CallFailure::Withheld;
     let actions = core.handle(Event::CallFailed { caller: 1, attempt, failure }, ms(20));
     assert_eq!(calls(&actions).len(), 1);
-    assert_ne!(calls(&actions)[0].1.endpoint.id, order.endpoint.id);
+    assert_ne!(calls(&actions)[0].1.endpoint.id, params.endpoint.id);
     assert!(!actions.iter().any(|a| matches!(a, Action::Log(LogEvent::Suspicion { .. }))));
 }
 
@@ -216,8 +216,8 @@
 fn an_endpoint_that_wants_nothing_is_probed_after_its_pause() {
     let mut core = configured(routes());
     let actions = submit(&mut core, 1, incoming("r", Vec::new()), ms(0));
-    let (attempt, order) = calls(&actions)[0].clone();
-    says(&mut core, &order.endpoint, pause_for(ms(SECONDS)), 5);
+    let (attempt, params) = calls(&actions)[0].clone();
+    says(&mut core, &params.endpoint, pause_for(ms(SECONDS)), 5);
     let failure = CallFailure::Broken;
     let mut during = core.handle(Event::CallFailed { caller: 1, attempt, failure }, ms(10));
     during.extend((1..50).flat_map(|n| core.handle(Event::Tick, ms(10 + n * 20))));
--- a/tests/direct_come_back.rs
+++ b/tests/direct_come_back.rs
@@ -8,7 +8,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use stackmast::direct::peers::members::{Member, MemberState, Members};
-use stackmast::direct::stop::{AT_LEAST, Stop, come_back_after};
+use stackmast::direct::stop::{MIN_DURATION, Stop, retry_after};
 use test_case::test_case;
 
 /// When the signal of these tests comes, and how long after it the process is killed.
@@ -52,7 +52,7 @@
 }
 
 fn come_back(others: &[Other], now: i64) -> Duration {
-    come_back_after(&Stop::new(SIGNAL, GRACE), &members(others), at(now))
+    retry_after(&Stop::new(SIGNAL, GRACE), &members(others), at(now))
 }
 
 #[test_case(&[], 0, 4_600; "alone: when it is back itself")]
@@ -84,7 +84,7 @@
         Member { address: address(2), incarnation: 5, heartbeat: 1, state, capacity: 1_000 };
     members.hear(&[member], lost);
     members.broke(address(2), 5, lost);
-    let after = come_back_after(&Stop::new(signal, GRACE), &members, signal + ms(1_000));
+    let after = retry_after(&Stop::new(signal, GRACE), &members, signal + ms(1_000));
     assert!(after >= RESTART, "{after:?}, where nobody serves for the next {:?}", ms(3_600));
 }
 
@@ -105,7 +105,7 @@
         let others: Vec<Other> = (0..rng.random_range(0..6)).map(|_| any_other(&mut rng)).collect();
         let now = rng.random_range(0..8_000);
         let after = come_back(&others, now);
-        let own = AT_LEAST.saturating_sub(ms(now as u64)) + RESTART;
+        let own = MIN_DURATION.saturating_sub(ms(now as u64)) + RESTART;
         assert!((LEAST..=own).contains(&after), "{after:?} at {now} with {others:?}");
         assert!(come_back(&[], now) >= after, "one more gateway makes nobody wait for longer");
     }
--- a/tests/direct_gates.rs
+++ b/tests/direct_gates.rs
@@ -12,9 +12,9 @@
 use stackmast::actor::{mailbox, run};
 use stackmast::direct::answers::{AnswerProof, BatchOutcome, BatchReport, CallFailure};
 use stackmast::direct::client::{
-    Answer, AnswerBody, AnswerHead, EndpointClient, Exchange, Forwarded,
+    Answer, AnswerBody, AnswerHead, EndpointClient, Exchange, ForwardedRequest,
 };
-use stackmast::direct::event::{CallSpec, Event, PieceSpec};
+use stackmast::direct::event::{CallParams, Event, PieceParams};
 use stackmast::direct::gates::Gates;
 use stackmast::direct::peers::links::Peers;
 use stackmast::direct::peers::message::Handle;
@@ -70,18 +70,18 @@
 impl EndpointClient for Said {
     async fn call(
         &self,
-        _order: CallSpec,
-        _request: Arc<Forwarded>,
+        _order: CallParams,
+        _request: Arc<ForwardedRequest>,
         mut exchange: impl Exchange,
     ) -> Result<Answer, CallFailure> {
         if self.calls.fetch_add(1, Ordering::Relaxed) == 0 {
             self.held.acquire().await.expect("it is open").forget();
         }
-        if !exchange.goes_out() {
+        if !exchange.may_send() {
             return Err(CallFailure::Withheld);
         }
         self.went_out.fetch_add(1, Ordering::Relaxed);
-        exchange.states(self.statement);
+        exchange.on_status(self.statement);
         let head = AnswerHead { status: StatusCode::OK, headers: HeaderMap::new() };
         let proof = AnswerProof {
             status: 200,
@@ -89,13 +89,13 @@
             names_request: true,
             ..AnswerProof::default()
         };
-        Ok(Answer { proof, head, body: AnswerBody::Whole(Bytes::new()) })
+        Ok(Answer { proof, head, body: AnswerBody::Complete(Bytes::new()) })
     }
 
     async fn batch(
         &self,
         _endpoint: Arc<Endpoint>,
-        _pieces: Vec<PieceSpec>,
+        _pieces: Vec<PieceParams>,
         _exchange: impl Exchange,
     ) -> BatchOutcome {
         BatchOutcome::Full
@@ -135,7 +135,7 @@
         .expect("a core");
     let ask = async || {
         let (method, headers, body) = (Method::GET, HeaderMap::new(), Bytes::new());
-        let request = Forwarded { method, target: "/r/x".to_owned(), headers, body };
+        let request = ForwardedRequest { method, target: "/r/x".to_owned(), headers, body };
         gateway.submit(incoming("r", Vec::new()), request).await.expect("an answer")
     };
     let after = async {
@@ -146,7 +146,7 @@
         answered
     };
     let (first, second) = tokio::join!(ask(), after);
-    assert!(matches!(second, Reply::Whole(..)));
+    assert!(matches!(second, Reply::Complete(..)));
     let Reply::Refused(refusal) = first else { panic!("it went out") };
     assert!(refusal.not_run);
     assert_eq!(went_out.load(Ordering::Relaxed), 1);
--- a/tests/direct_limits.rs
+++ b/tests/direct_limits.rs
@@ -12,7 +12,7 @@
 use stackmast::actor::Core;
 use stackmast::direct::answers::{BatchOutcome, CallFailure, PieceOutcome};
 use stackmast::direct::core::{GatewayCore, Setup};
-use stackmast::direct::event::{Action, CallSpec, Event, Refused};
+use stackmast::direct::event::{Action, CallParams, Event, Refused};
 use stackmast::direct::gates::Gates;
 use stackmast::direct::limits::known::{KnownLimits, LimitTold};
 use stackmast::direct::limits::limiter::{Ask, Asker, Decided, Limiter, Pace};
@@ -48,7 +48,7 @@
     from: u64,
     to: u64,
     every: u64,
-) -> Vec<(u64, CallSpec)> {
+) -> Vec<(u64, CallParams)> {
     let mut sent = Vec::new();
     for (number, now) in (from..to).step_by(every as usize).enumerate() {
         let caller = first + number as u64;
@@ -66,7 +66,7 @@
     sent
 }
 
-fn to_first(sent: &[(u64, CallSpec)]) -> Vec<u64> {
+fn to_first(sent: &[(u64, CallParams)]) -> Vec<u64> {
     sent.iter().filter(|(_, order)| &*order.endpoint.id == "engine-1").map(|(at, _)| *at).collect()
 }
 
--- a/tests/direct_scheduler.rs
+++ b/tests/direct_scheduler.rs
@@ -7,7 +7,7 @@
 
 use directenv::{address, batch, deployment, endpoint, endpoints, job, job_id, ms, route, table};
 use stackmast::direct::answers::{BatchOutcome, BatchReport, CallFailure, PieceOutcome};
-use stackmast::direct::event::{Action, PieceSpec};
+use stackmast::direct::event::{Action, PieceParams};
 use stackmast::direct::owner::makers::Usage;
 use stackmast::direct::owner::scheduler::Scheduler;
 use stackmast::direct::peers::message::{Job, JobReason, PeerMessage};
@@ -20,7 +20,7 @@
 }
 
 /// Calls among actions: id, endpoint, pieces.
-fn calls(actions: &[Action]) -> Vec<(u64, String, Vec<PieceSpec>)> {
+fn calls(actions: &[Action]) -> Vec<(u64, String, Vec<PieceParams>)> {
     let calls = actions.iter().filter_map(|a| match a {
         Action::CallBatch { call, endpoint, pieces, .. } => {
             Some((*call, endpoint.id.to_string(), pieces.clone()))
--- a/tests/direct_upgrades.rs
+++ b/tests/direct_upgrades.rs
@@ -288,8 +288,7 @@
     assert_eq!(told, Some((["hall-9".into()].into_iter().collect(), 1)));
     for caller in 1..=20 {
         let actions = submit(&mut core, caller, incoming("r", Vec::new()), ms(20 + caller));
-        let goes_there =
-            |a: &Action| matches!(a, Action::Call { order, .. } if order.endpoint.id == leaving.id);
+        let goes_there = |a: &Action| matches!(a, Action::Call { params, .. } if params.endpoint.id == leaving.id);
         assert!(!actions.iter().any(goes_there));
     }
 }
--- a/tests/directenv/fakes.rs
+++ b/tests/directenv/fakes.rs
@@ -6,7 +6,7 @@
 use stackmast::direct::answers::{
     AnswerProof, BatchOutcome, BatchReport, CallFailure, PieceOutcome,
 };
-use stackmast::direct::event::{CallSpec, Event, Generation, PieceSpec};
+use stackmast::direct::event::{CallParams, Event, Generation, PieceParams};
 use stackmast::direct::published::model::{Endpoint, Repeat, Route};
 use stackmast::direct::statement::Asked;
 
@@ -29,13 +29,13 @@
     }
 
     /// An endpoint is called with a request: it may refuse, fail before or after its run, or answer.
-    pub fn call(&mut self, number: usize, caller: u64, attempt: u64, order: &CallSpec) {
+    pub fn call(&mut self, number: usize, caller: u64, attempt: u64, params: &CallParams) {
         let life = self.lives[number];
         let seen = &self.callers[&caller];
         let (id, route) = (seen.id.clone(), seen.route);
         assert!(!seen.refused_not_run, "{id}: called after it was refused as not run");
         let spec = self.routes[route].clone();
-        self.check_inputs(&id, &spec, order);
+        self.check_inputs(&id, &spec, params);
         let failed = |failure| Event::CallFailed { caller, attempt, failure };
         let refused = |status, from_other_endpoint| {
             let proof = AnswerProof {
@@ -79,11 +79,11 @@
             };
             assert!(*runs <= most as usize, "{id}: run {runs} times, {most} allowed");
         }
-        if !order.inputs.is_empty() && fate != 1 {
+        if !params.inputs.is_empty() && fate != 1 {
             let sent = Event::CallSent { caller, attempt };
             self.at(self.now + ms(1), Happening::Event(number, life, Box::new(sent)));
         }
-        self.answers(number, &order.endpoint, Asked::Request, self.now + delay);
+        self.answers(number, &params.endpoint, Asked::Request, self.now + delay);
         let is_stream = spec.streams && matches!(&event, Event::Answered { is_open: true, .. });
         self.at(self.now + delay, Happening::Event(number, life, Box::new(event)));
         if is_stream {
@@ -98,10 +98,10 @@
     }
 
     /// The run gets every result of its last stages, each made for this request, once and in order.
-    fn check_inputs(&self, id: &str, spec: &Route, order: &CallSpec) {
+    fn check_inputs(&self, id: &str, spec: &Route, params: &CallParams) {
         let last: Vec<usize> = spec.last_stages().collect();
         let mut expected_stages = Vec::new();
-        for handle in &order.inputs {
+        for handle in &params.inputs {
             let (request, stage, piece) = &self.results[&**handle];
             assert_eq!(request, id, "another request's result");
             assert!(last.contains(stage), "{id}: a result of a stage that others come after");
@@ -117,7 +117,7 @@
         }
     }
 
-    pub fn batch(&mut self, number: usize, call: u64, endpoint: &Endpoint, pieces: &[PieceSpec]) {
+    pub fn batch(&mut self, number: usize, call: u64, endpoint: &Endpoint, pieces: &[PieceParams]) {
         let fate = if self.is_troubled() { self.rng.random_range(1..7) } else { 0 };
         let mut delay = self.time_in(ms(240), ms(300));
         let outcome = match fate {
@@ -140,20 +140,20 @@
     }
 
     /// A maker checks what it is given and makes a piece, or says why not.
-    fn make(&mut self, endpoint: &Endpoint, order: &PieceSpec) -> PieceOutcome {
+    fn make(&mut self, endpoint: &Endpoint, params: &PieceParams) -> PieceOutcome {
         let caller =
-            self.callers.values().find(|c| c.id == *order.request).expect("a client's request");
-        let spec = &self.routes[caller.route].stages[order.stage];
-        assert_eq!(order.key.is_some(), spec.after.is_empty());
-        assert_eq!(order.inputs.is_empty(), spec.after.is_empty(), "{}: inputs", order.request);
+            self.callers.values().find(|c| c.id == *params.request).expect("a client's request");
+        let spec = &self.routes[caller.route].stages[params.stage];
+        assert_eq!(params.key.is_some(), spec.after.is_empty());
+        assert_eq!(params.inputs.is_empty(), spec.after.is_empty(), "{}: inputs", params.request);
         let mut seen = HashSet::new();
-        for handle in &order.inputs {
+        for handle in &params.inputs {
             let made = &self.results[&**handle];
-            assert_eq!(made.0, *order.request, "another request's result");
+            assert_eq!(made.0, *params.request, "another request's result");
             assert!(spec.after.contains(&made.1), "a result of another stage");
             assert!(seen.insert((made.1, made.2)), "one input twice");
         }
-        if order.inputs.iter().any(|h| !self.kept.contains_key(&**h)) {
+        if params.inputs.iter().any(|h| !self.kept.contains_key(&**h)) {
             return PieceOutcome::InputGone;
         }
         if self.is_troubled() {
@@ -162,7 +162,7 @@
                 1 => return PieceOutcome::Failed,
                 2 => {
                     // What a maker loses is gone for all.
-                    for handle in &order.inputs {
+                    for handle in &params.inputs {
                         self.kept.remove(&**handle);
                     }
                     return PieceOutcome::InputGone;
@@ -172,7 +172,7 @@
         }
         self.next += 1;
         let handle = format!("{}/{}", endpoint.id, self.next);
-        let made = (order.request.to_string(), order.stage, order.piece);
+        let made = (params.request.to_string(), params.stage, params.piece);
         self.results.insert(handle.clone(), made);
         self.kept.insert(handle.clone(), self.now);
         PieceOutcome::Made(handle.into())
--- a/tests/directenv/gateway.rs
+++ b/tests/directenv/gateway.rs
@@ -7,7 +7,7 @@
 use stackmast::direct::answers::AnswerProof;
 use stackmast::direct::core::{GatewayCore, Setup};
 use stackmast::direct::departures::Departure;
-use stackmast::direct::event::{Action, CallSpec, Event, IncomingRequest, Refusal};
+use stackmast::direct::event::{Action, CallParams, Event, IncomingRequest, Refusal};
 use stackmast::direct::limits::known::LimitTold;
 use stackmast::direct::peers::members::{Member, MemberState};
 use stackmast::direct::peers::message::PeerMessage;
@@ -92,9 +92,9 @@
     core.handle(Event::Submit { caller, incoming }, now)
 }
 
-pub fn calls(actions: &[Action]) -> Vec<(u64, CallSpec)> {
+pub fn calls(actions: &[Action]) -> Vec<(u64, CallParams)> {
     let calls = actions.iter().filter_map(|a| match a {
-        Action::Call { attempt, order, .. } => Some((*attempt, order.clone())),
+        Action::Call { attempt, params, .. } => Some((*attempt, params.clone())),
         _ => None,
     });
     calls.collect()
--- a/tests/directenv/limits.rs
+++ b/tests/directenv/limits.rs
@@ -9,7 +9,7 @@
 use stackmast::actor::Core;
 use stackmast::direct::answers::CallFailure;
 use stackmast::direct::core::Setup;
-use stackmast::direct::event::{Action, CallSpec, Event, Generation};
+use stackmast::direct::event::{Action, CallParams, Event, Generation};
 use stackmast::direct::gates::Gates;
 use stackmast::direct::published::documents::{Document, Revised};
 use stackmast::direct::published::model::{Endpoint, Name, Repeat};
@@ -61,7 +61,7 @@
 enum Happening {
     Event(usize, u64, Box<Event>),
     /// A call could go out, over a connection that is up.
-    GoesOut(usize, u64, u64, u64, Box<CallSpec>),
+    GoesOut(usize, u64, u64, u64, Box<CallParams>),
     /// A call's answer is written.
     Answers(usize, u64, u64, u64, Arc<Endpoint>, Duration),
     Wake(usize, u64),
@@ -256,10 +256,10 @@
                 self.gateways[gateway].wake = None;
                 self.handle(gateway, Event::Tick);
             }
-            Happening::GoesOut(gateway, life, caller, attempt, order)
+            Happening::GoesOut(gateway, life, caller, attempt, params)
                 if self.gateways[gateway].life == life =>
             {
-                self.goes_out(gateway, caller, attempt, &order);
+                self.goes_out(gateway, caller, attempt, &params);
             }
             Happening::Event(..) | Happening::Wake(..) | Happening::GoesOut(..) => {}
             Happening::Answers(gateway, life, caller, attempt, endpoint, sent) => {
@@ -359,11 +359,11 @@
                     self.send(number, to, event);
                 }
             }
-            Action::Call { caller, attempt, order } => {
+            Action::Call { caller, attempt, params } => {
                 let (slow, usual) = (self.time.time_in(20, 400), self.time.time_in(1, 20));
                 let after = if self.time.rng.random_bool(0.05) { slow } else { usual };
                 let life = self.gateways[number].life;
-                let goes_out = Happening::GoesOut(number, life, caller, attempt, Box::new(order));
+                let goes_out = Happening::GoesOut(number, life, caller, attempt, Box::new(params));
                 self.time.at(self.time.now + after, goes_out);
             }
             Action::RequirePermits { endpoint, incarnation, is_limited } => {
@@ -387,10 +387,10 @@
         }
     }
 
-    fn goes_out(&mut self, number: usize, caller: u64, attempt: u64, order: &CallSpec) {
+    fn goes_out(&mut self, number: usize, caller: u64, attempt: u64, params: &CallParams) {
         let (now, life) = (self.time.now, self.gateways[number].life);
-        let endpoint = order.endpoint.clone();
-        if !self.gates[number].is_open(&endpoint, Asked::Request, order.permit, now) {
+        let endpoint = params.endpoint.clone();
+        if !self.gates[number].is_open(&endpoint, Asked::Request, params.permit, now) {
             self.seen.withheld += 1;
             let failure = CallFailure::Withheld;
             return self.handle(number, Event::CallFailed { caller, attempt, failure });
--- a/tests/directenv/orders.rs
+++ b/tests/directenv/orders.rs
@@ -350,8 +350,8 @@
                     self.send(number, to, event);
                 }
             }
-            Action::Call { caller, attempt, order } => {
-                self.call(number, caller, attempt, &order.endpoint);
+            Action::Call { caller, attempt, params } => {
+                self.call(number, caller, attempt, &params.endpoint);
             }
             Action::Refuse { .. } => self.seen.refused += 1,
             _ => {}
--- a/tests/directenv/poison/endpoints.rs
+++ b/tests/directenv/poison/endpoints.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use stackmast::direct::answers::{BatchOutcome, CallFailure, PieceOutcome};
-use stackmast::direct::event::{CallSpec, Event, PieceSpec};
+use stackmast::direct::event::{CallParams, Event, PieceParams};
 use stackmast::direct::published::documents::{Document, Revised};
 use stackmast::direct::published::model::{Endpoint, Name};
 
@@ -13,11 +13,11 @@
 use crate::directenv::gateway::good;
 
 impl Fleet {
-    pub(super) fn call(&mut self, gateway: usize, caller: u64, attempt: u64, order: &CallSpec) {
+    pub(super) fn call(&mut self, gateway: usize, caller: u64, attempt: u64, params: &CallParams) {
         let contents = BTreeSet::from([self.callers[&caller].content]);
         let poison = contents.iter().find(|c| matches!(c, Content::Poison(_))).copied();
         let work = Work::Request { caller, attempt };
-        self.reach(gateway, &order.endpoint, work, contents, poison);
+        self.reach(gateway, &params.endpoint, work, contents, poison);
     }
 
     pub(super) fn batch(
@@ -25,7 +25,7 @@
         gateway: usize,
         call: u64,
         endpoint: &Endpoint,
-        pieces: &[PieceSpec],
+        pieces: &[PieceParams],
     ) {
         let contents = pieces.iter().map(|piece| {
             let caller: u64 = piece.request.parse().expect("a caller");
--- a/tests/directenv/poison/mod.rs
+++ b/tests/directenv/poison/mod.rs
@@ -319,7 +319,7 @@
                     self.send(number, to, event);
                 }
             }
-            Action::Call { caller, attempt, order } => self.call(number, caller, attempt, &order),
+            Action::Call { caller, attempt, params } => self.call(number, caller, attempt, &params),
             Action::CallBatch { call, endpoint, pieces, .. } => {
                 self.batch(number, call, &endpoint, &pieces);
             }
--- a/tests/directenv/said.rs
+++ b/tests/directenv/said.rs
@@ -69,19 +69,19 @@
 /// Where a new request goes.
 pub fn goes_to(core: &mut GatewayCore, caller: u64, at: u64) -> Option<String> {
     let actions = submit(core, caller, incoming("r", Vec::new()), ms(at));
-    calls(&actions).first().map(|(_, order)| order.endpoint.id.to_string())
+    calls(&actions).first().map(|(_, params)| params.endpoint.id.to_string())
 }
 
 /// Whether any of many requests, which are all answered, goes to an endpoint.
 pub fn gets_any(core: &mut GatewayCore, who: &str, first: u64, at: u64) -> bool {
     (first..first + 20).any(|caller| {
         let actions = submit(core, caller, incoming("r", Vec::new()), ms(at));
-        let Some((attempt, order)) = calls(&actions).into_iter().next() else {
+        let Some((attempt, params)) = calls(&actions).into_iter().next() else {
             return false;
         };
         let answered = Event::Answered { caller, attempt, proof: good(), is_open: false };
         core.handle(answered, ms(at));
-        &*order.endpoint.id == who
+        &*params.endpoint.id == who
     })
 }
 
--- a/tests/directenv/statements.rs
+++ b/tests/directenv/statements.rs
@@ -94,7 +94,7 @@
             return;
         };
         let (endpoint, is_work) = match action {
-            Action::Call { order, .. } => (&order.endpoint, true),
+            Action::Call { params, .. } => (&params.endpoint, true),
             Action::CallBatch { endpoint, .. } => (endpoint, true),
             Action::RequestReport(endpoint) => (endpoint, true),
             Action::FreeResults { endpoint, .. } | Action::Probe(endpoint) => (endpoint, false),
--- a/tests/directenv/stops.rs
+++ b/tests/directenv/stops.rs
@@ -6,7 +6,7 @@
 
 use rand::RngExt;
 use stackmast::direct::event::Event;
-use stackmast::direct::stop::{AT_LEAST, latest};
+use stackmast::direct::stop::{MIN_DURATION, max_duration};
 
 use super::ms;
 use super::world::{BUSY, GATEWAYS, Happening, World};
@@ -95,7 +95,7 @@
         self.stops.signals.entry((number, life)).or_insert(self.now);
         let at = self.now;
         self.handle(number, Event::Drain { at });
-        self.at(self.now + AT_LEAST, Happening::LookAtStop(number, life));
+        self.at(self.now + MIN_DURATION, Happening::LookAtStop(number, life));
     }
 
     /// The process ends when nothing is in flight, or when it has to.
@@ -104,7 +104,7 @@
         else {
             return;
         };
-        let must_end = self.stops.signals[&(number, life)] + latest(GRACE);
+        let must_end = self.stops.signals[&(number, life)] + max_duration(GRACE);
         if core.in_flight() > 0 && self.now < must_end {
             let next = (self.now + LOOK).min(must_end);
             return self.at(next, Happening::LookAtStop(number, life));
--- a/tests/directenv/world.rs
+++ b/tests/directenv/world.rs
@@ -372,7 +372,7 @@
     fn act(&mut self, number: usize, action: Action) {
         self.check_statements(number, &action);
         match action {
-            Action::Call { caller, attempt, order } => self.call(number, caller, attempt, &order),
+            Action::Call { caller, attempt, params } => self.call(number, caller, attempt, &params),
             Action::CallBatch { call, endpoint, pieces, .. } => {
                 self.batch(number, call, &endpoint, &pieces);
             }
