--- a/src/direct/owner/admission.rs
+++ b/src/direct/owner/admission.rs
@@ -8,10 +8,10 @@
 
 use crate::direct::event::Action;
 use crate::direct::log_events::{LogEvent, ms};
-use crate::direct::owner::calls::SETTLING;
-use crate::direct::owner::due::Due;
+use crate::direct::owner::calls::TAKEOVER_PERIOD;
 use crate::direct::owner::jobs::{JobRun, Piece, expected_calls};
 use crate::direct::owner::scheduler::Scheduler;
+use crate::direct::owner::timers::Timer;
 use crate::direct::peers::message::{Job, JobId, JobReason, JobStage, PeerMessage};
 use crate::direct::poison::suspects::KEPT;
 use crate::direct::published::homes::Homes;
@@ -23,22 +23,22 @@
 
 /// Share of the backlog, computed for full calls, that is ahead of a new job: admitted jobs reach
 /// their stages one after the other, and calls get fuller under load.
-const BEFORE_NEWCOMER: f64 = 0.3;
+const BACKLOG_SHARE: f64 = 0.3;
 /// Average share of its call's duration that a running piece still needs.
-const RUNNING_REST: f64 = 0.5;
+const RUNNING_SHARE: f64 = 0.5;
 
 impl Scheduler {
     /// Handles a job submitted by a gateway: admits it, or refuses it at once.
     pub fn submit(&mut self, job: Job, table: &Table, now: Timestamp) {
         let id = job.id;
         if self.jobs.contains_key(&id) {
-            return self.tell_again(id);
+            return self.resend_state(id);
         }
         if self.poison_in(&job).is_some() {
-            return self.tell_given_up(id, JobReason::Failed, true, KEPT);
+            return self.send_given_up(id, JobReason::Failed, true, KEPT);
         }
-        if self.last_submit.is_none_or(|last| now >= last + SETTLING) {
-            self.owner_since = now;
+        if self.last_submit.is_none_or(|last| now >= last + TAKEOVER_PERIOD) {
+            self.active_since = now;
             self.ask_reports(table, now);
         }
         self.last_submit = Some(now);
@@ -51,23 +51,23 @@
             };
             let needed = job.stages.iter().filter(|s| s.pieces > s.done.len());
             let needed = needed.filter(|_| refusal == PathRefusal::NoEndpoint);
-            let pauses = needed.filter_map(|s| self.pause_of(&s.pool, table, now));
+            let pauses = needed.filter_map(|s| self.pool_pause(&s.pool, table, now));
             let retry_after = pauses.max().unwrap_or(decision.retry_after);
-            return self.tell_given_up(id, reason, true, retry_after);
+            return self.send_given_up(id, reason, true, retry_after);
         }
-        let too_late = self.too_late_for_turns(&job, table, now).filter(|_| !job.resubmitted);
-        if let Some(retry_after) = too_late {
-            return self.tell_given_up(id, JobReason::WouldBeLate, true, retry_after);
+        let excess_wait = self.excess_turn_wait(&job, table, now).filter(|_| !job.resubmitted);
+        if let Some(retry_after) = excess_wait {
+            return self.send_given_up(id, JobReason::WouldBeLate, true, retry_after);
         }
-        self.tell(id, PeerMessage::Accepted(id));
+        self.send_to_gateway(id, PeerMessage::Accepted(id));
         let mut run = JobRun::new(job, table, now);
-        run.inner_home = self.least_loaded_home(&run);
+        run.inner_home = self.least_loaded_data_centre(&run);
         for (spec, stage) in run.job.stages.iter().zip(&run.stages) {
             for made in stage.results() {
                 self.makers.taken_over(&made.endpoint, spec.result_bytes);
             }
         }
-        self.timers.add(run.deadline, Due::Deadline(id));
+        self.timers.add(run.deadline, Timer::Deadline(id));
         self.jobs.insert(id, run);
         self.advance(id, table);
     }
@@ -75,10 +75,10 @@
     /// Decides on admission; a resubmitted job, which another owner has admitted before, is not
     /// refused.
     fn admit(&mut self, job: &Job, table: &Table, now: Timestamp) -> PathDecision {
-        self.settle(table, now);
+        self.update_ledger(table, now);
         let loads = self.loads(job, table, now);
         // Each stage ends with an event, which this process handles with its event lag.
-        let after = job.after + self.lateness * job.stages.len() as u32;
+        let after = job.after + self.event_lag * job.stages.len() as u32;
         let mut decision = admit_path(&loads, after, job.to_objective, job.priority);
         decision.refusal = decision.refusal.filter(|_| !job.resubmitted);
         let narrowest = job.stages.get(decision.narrowest);
@@ -94,7 +94,7 @@
     }
 
     /// Sends the state of a job to its gateway again, because earlier messages may be lost.
-    fn tell_again(&mut self, id: JobId) {
+    fn resend_state(&mut self, id: JobId) {
         let Some(run) = self.jobs.get(&id) else {
             return;
         };
@@ -102,12 +102,12 @@
         let done = stages.filter(|(_, s)| s.told && !s.pieces.contains(&Piece::Used));
         let done: Vec<_> = done.map(|(stage, s)| (stage, s.results())).collect();
         let is_ready = run.ready;
-        self.tell(id, PeerMessage::Accepted(id));
+        self.send_to_gateway(id, PeerMessage::Accepted(id));
         for (stage, results) in done {
-            self.tell(id, PeerMessage::StageDone { job: id, stage, results });
+            self.send_to_gateway(id, PeerMessage::StageDone { job: id, stage, results });
         }
         if is_ready {
-            self.tell(id, PeerMessage::Ready(id));
+            self.send_to_gateway(id, PeerMessage::Ready(id));
         }
     }
 
@@ -131,7 +131,7 @@
     fn load(
         &self,
         stage: &JobStage,
-        homes: &Homes,
+        allowed_regions: &Homes,
         call: Duration,
         taken: Arc<Timeline>,
         table: &Table,
@@ -150,7 +150,7 @@
         else {
             return load;
         };
-        let endpoints = pool.endpoints.count_at(homes) as f64;
+        let endpoints = pool.endpoints.count_in_regions(allowed_regions) as f64;
         load.slots = endpoints * f64::from(spec.slots);
         load.room =
             (spec.room_bytes as f64).mul_add(endpoints, -(pool.endpoints.of_others() as f64));
@@ -162,27 +162,28 @@
     /// work per endpoint in the busiest of the stages' pools, among those with endpoints in all of
     /// them; the callers' own data centre on a tie. Benchmark gain: 0.005 to 0.007 on scores of
     /// 0.60 to 0.68, in paired day runs of three deployments.
-    fn least_loaded_home(&self, run: &JobRun) -> Option<Name> {
+    fn least_loaded_data_centre(&self, run: &JobRun) -> Option<Name> {
         let pools = run.heavy_stages().map(|s| self.ledger.get(&run.job.stages[s].pool));
         let pools: Vec<_> = pools.collect::<Option<_>>()?;
         let (first, others) = pools.split_first()?;
-        let homes = first.endpoints.data_centres();
-        let homes = homes.filter(|h| others.iter().all(|pool| pool.endpoints.count_in(h) > 0));
-        let homes = homes.filter(|h| first.endpoints.is_at(h, &run.job.homes));
+        let data_centres = first.endpoints.data_centres();
+        let data_centres =
+            data_centres.filter(|h| others.iter().all(|pool| pool.endpoints.count_in(h) > 0));
+        let data_centres = data_centres.filter(|h| first.endpoints.is_allowed(h, &run.job.homes));
         // Unfinished pieces per endpoint, in thousandths.
-        let load = |home: &Name| {
-            let loads = pools
-                .iter()
-                .map(|pool| (pool.open_at(home) * 1_000) / pool.endpoints.listed_in(home).max(1));
+        let load = |data_centre: &Name| {
+            let loads = pools.iter().map(|pool| {
+                (pool.open_at(data_centre) * 1_000) / pool.endpoints.listed_in(data_centre).max(1)
+            });
             loads.max().unwrap_or_default()
         };
-        homes.min_by_key(|h| (load(h), **h != run.job.data_centre, (*h).clone())).cloned()
+        data_centres.min_by_key(|h| (load(h), **h != run.job.data_centre, (*h).clone())).cloned()
     }
 }
 
 /// Slot time that is ahead of a new job.
 fn backlog(waiting: usize, running: usize, spec: &BatchSpec) -> Duration {
     let full_call = spec.call.div_f64(spec.pieces as f64) + spec.piece;
-    let pieces = (running as f64).mul_add(RUNNING_REST, waiting as f64);
-    full_call.mul_f64(BEFORE_NEWCOMER).mul_f64(pieces)
+    let pieces = (running as f64).mul_add(RUNNING_SHARE, waiting as f64);
+    full_call.mul_f64(BACKLOG_SHARE).mul_f64(pieces)
 }
--- a/src/direct/owner/filling.rs
+++ b/src/direct/owner/batching.rs
@@ -9,12 +9,12 @@
 use crate::direct::event::{Action, PieceParams};
 use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::owner::calls::{Call, PieceId};
-use crate::direct::owner::due::Due;
-use crate::direct::owner::free::Endpoints;
+use crate::direct::owner::endpoints::Endpoints;
 use crate::direct::owner::jobs::{JobRun, Piece};
 use crate::direct::owner::ledger::PoolLedger;
-use crate::direct::owner::queue::{Candidate, Look, Rank};
+use crate::direct::owner::queue::{Candidate, Rank, Search};
 use crate::direct::owner::scheduler::Scheduler;
+use crate::direct::owner::timers::Timer;
 use crate::direct::published::model::{BatchSpec, Endpoint, Name};
 use crate::direct::published::table::Table;
 use crate::invariant;
@@ -24,20 +24,20 @@
 
 /// A call is abandoned after its expected duration multiplied by this factor, plus
 /// [`OVERDUE_MARGIN`].
-const OVERDUE: f64 = 2.0;
+const OVERDUE_FACTOR: f64 = 2.0;
 /// See [`OVERDUE_FACTOR`].
-const PATIENCE: Duration = Duration::from_millis(250);
+const OVERDUE_MARGIN: Duration = Duration::from_millis(250);
 /// A piece waits for an endpoint in its preferred data centre only while its slack is larger than
 /// this. With 350 ms, results that are transferred between data centres cost two fifths less, but
 /// as much is lost by late responses.
-const TIME_FOR_PLACE: Duration = Duration::from_millis(600);
+const PLACEMENT_SLACK: Duration = Duration::from_millis(600);
 /// Number of full calls for which the most urgent pieces of each data centre are examined: pieces
 /// that don't fit into the remaining memory of a call are skipped in favour of later ones.
-const CALLS_LOOKED_AT: usize = 2;
+const CALLS_EXAMINED: usize = 2;
 
 /// Pieces of one stage that are put into a call.
 #[derive(Debug)]
-struct Taken {
+struct Selected {
     rank: Rank,
     skip: usize,
     pieces: usize,
@@ -45,27 +45,27 @@
 
 impl Scheduler {
     /// Fills calls to a pool's free endpoints with the most urgent pieces.
-    pub(super) fn fill(&mut self, pool: &Name, table: &Table, now: Timestamp) {
+    pub(super) fn fill_calls(&mut self, pool: &Name, table: &Table, now: Timestamp) {
         let Some(spec) = table.batch(pool) else {
             return;
         };
         loop {
-            self.settle(table, now);
+            self.update_ledger(table, now);
             let Some(ledger) = self.ledger.get(pool) else {
                 return;
             };
-            let goes_alone = |rank: Rank| self.goes_alone(rank.job, rank.stage);
-            let next = next_call(ledger, spec, goes_alone, now);
-            let Some((endpoint, taken, looked_at)) = next else {
+            let is_isolated = |rank: Rank| self.is_isolated(rank.job, rank.stage);
+            let next = choose_call(ledger, spec, is_isolated, now);
+            let Some((endpoint, taken, examined)) = next else {
                 return;
             };
-            self.looked_at += looked_at as u64;
+            self.looked_at += examined as u64;
             let batch = taken.iter().flat_map(|taken| self.pieces(taken)).collect();
-            self.send(pool, spec, endpoint, batch, now);
+            self.send_call(pool, spec, endpoint, batch, now);
         }
     }
 
-    fn pieces(&self, taken: &Taken) -> Vec<PieceId> {
+    fn pieces(&self, taken: &Selected) -> Vec<PieceId> {
         let Rank { job, stage, .. } = taken.rank;
         let Some(run) = self.jobs.get(&job) else {
             return Vec::new();
@@ -76,7 +76,7 @@
         taken.map(|(piece, _)| (job, stage, piece)).collect()
     }
 
-    fn send(
+    fn send_call(
         &mut self,
         pool: &Name,
         spec: &BatchSpec,
@@ -104,9 +104,9 @@
             }
             orders.push(order);
             let slot = &mut run.stages[stage].pieces[piece];
-            let tries = if let Piece::Waiting { tries } = *slot { tries } else { 0 };
-            firsts += u32::from(tries == 0);
-            *slot = Piece::Running { call, tries };
+            let attempts = if let Piece::Waiting { attempts } = *slot { attempts } else { 0 };
+            firsts += u32::from(attempts == 0);
+            *slot = Piece::Running { call, attempts };
             if run.stages[stage].started.is_none() {
                 run.stages[stage].started = Some(now);
                 waited.extend(run.stages[stage].opened.map(|at| now.saturating_sub(at)));
@@ -115,13 +115,13 @@
             pieces.push(((id, stage, piece), bytes));
         }
         for waited in waited {
-            self.paces.waited(pool, spec, waited);
+            self.timings.record_wait(pool, spec, waited);
         }
         self.repeats.first(pool, firsts, now);
         self.makers.sent(&endpoint.id, total);
         self.cold.sent(&endpoint, pieces.len(), now);
         let expected = spec.call + spec.piece * orders.len() as u32;
-        let patience = expected.mul_f64(OVERDUE) + PATIENCE;
+        let wait_limit = expected.mul_f64(OVERDUE_FACTOR) + OVERDUE_MARGIN;
         let queued = self.ledger.get(pool).map_or(0, |ledger| ledger.queue.pieces());
         self.out.push(Action::Log(LogEvent::BatchSent {
             call,
@@ -129,15 +129,23 @@
             pieces: orders.iter().map(|o| (o.request.clone(), o.stage, o.piece)).collect(),
             waiting: queued.saturating_sub(pieces.len()),
         }));
-        self.timers.add(now + FETCHING, Due::Fetched(call));
-        self.timers.add(now + patience, Due::Overdue(call));
-        let (is_late, has_fetched) = (false, false);
+        self.timers.add(now + FETCHING, Timer::InputsFetched(call));
+        self.timers.add(now + wait_limit, Timer::Overdue(call));
+        let (is_abandoned, has_fetched) = (false, false);
         let (pool, to) = (pool.clone(), endpoint.clone());
-        let parts = self.parts(&pieces);
-        let sent =
-            Call { pool, endpoint: to, pieces, parts, sent: now, expected, is_late, has_fetched };
+        let stages = self.call_stages(&pieces);
+        let sent = Call {
+            pool,
+            endpoint: to,
+            pieces,
+            stages,
+            sent: now,
+            expected,
+            is_abandoned,
+            has_fetched,
+        };
         self.calls.insert(call, sent);
-        let timeout = patience * 4;
+        let timeout = wait_limit * 4;
         let permit = self.take_permit(&endpoint);
         self.out.push(Action::CallBatch { call, endpoint, pieces: orders, timeout, permit });
     }
@@ -145,40 +153,46 @@
 
 /// Chooses the next call: an endpoint for the most urgent pieces that fit anywhere, all pieces of
 /// the call, and the number of candidates examined.
-fn next_call(
+fn choose_call(
     pool: &PoolLedger,
     spec: &BatchSpec,
-    goes_alone: impl Fn(Rank) -> bool,
+    is_isolated: impl Fn(Rank) -> bool,
     now: Timestamp,
-) -> Option<(Arc<Endpoint>, Vec<Taken>, usize)> {
+) -> Option<(Arc<Endpoint>, Vec<Selected>, usize)> {
     if pool.queue.is_empty() || !pool.endpoints.is_free() {
         return None;
     }
-    let look = Look {
+    let search = Search {
         now_ms: ms(now) as i64,
-        waits_from_ms: ms(now + TIME_FOR_PLACE) as i64,
-        most: spec.pieces * CALLS_LOOKED_AT,
+        flexible_until_ms: ms(now + PLACEMENT_SLACK) as i64,
+        max_pieces: spec.pieces * CALLS_EXAMINED,
     };
     let candidates = pool.queue.candidates(
-        look,
-        |home| pool.endpoints.count_in(home) * spec.pieces,
-        |home| pool.endpoints.is_free_in(home),
+        search,
+        |preferred| pool.endpoints.count_in(preferred) * spec.pieces,
+        |preferred| pool.endpoints.is_free_in(preferred),
     );
-    let place = |(index, c)| Some((index, place_for(c, &pool.endpoints)?));
-    let (first, (room, endpoint)) = candidates.iter().enumerate().find_map(place)?;
-    let taken = take(&candidates[first..], endpoint, spec.pieces, room, goes_alone);
+    let place = |(index, c)| Some((index, choose_endpoint(c, &pool.endpoints)?));
+    let (first, (free_bytes, endpoint)) = candidates.iter().enumerate().find_map(place)?;
+    let taken = select_pieces(&candidates[first..], endpoint, spec.pieces, free_bytes, is_isolated);
     Some((endpoint.clone(), taken, candidates.len()))
 }
 
 /// The free endpoint with the most free memory in the preferred data centre, or else in any allowed
 /// region, with its free memory.
-fn place_for<'a>(piece: &Candidate, endpoints: &'a Endpoints) -> Option<(u64, &'a Arc<Endpoint>)> {
-    let at_home = piece.home.as_ref().and_then(|home| endpoints.roomiest_in(home, piece.bytes));
-    let at_home = at_home.filter(|(_, endpoint)| piece.homes.have(endpoint));
-    if at_home.is_none() && piece.waits_for_home {
+fn choose_endpoint<'a>(
+    piece: &Candidate,
+    endpoints: &'a Endpoints,
+) -> Option<(u64, &'a Arc<Endpoint>)> {
+    let at_preferred = piece
+        .preferred
+        .as_ref()
+        .and_then(|preferred| endpoints.most_free_in(preferred, piece.bytes));
+    let at_preferred = at_preferred.filter(|(_, endpoint)| piece.allowed_regions.have(endpoint));
+    if at_preferred.is_none() && piece.only_preferred {
         return None;
     }
-    at_home.or_else(|| endpoints.roomiest_at(&piece.homes, piece.bytes))
+    at_preferred.or_else(|| endpoints.most_free_in_regions(&piece.allowed_regions, piece.bytes))
 }
 
 /// Selects the pieces of a call to endpoint `to`, which holds at most `most` pieces and has `room`
@@ -192,39 +206,40 @@
 /// day runs with bursts and losses; within noise (-0.003, 0.001) on the two others.
 ///
 /// A call with pieces of an isolated stage holds nothing else; see [`super::poison`].
-fn take(
+fn select_pieces(
     candidates: &[Candidate],
     to: &Endpoint,
-    most: usize,
-    mut room: u64,
-    goes_alone: impl Fn(Rank) -> bool,
-) -> Vec<Taken> {
-    let mut left = most;
-    let mut taken: Vec<Taken> = Vec::new();
-    let mut alone = None;
+    max_pieces: usize,
+    mut free_bytes: u64,
+    is_isolated: impl Fn(Rank) -> bool,
+) -> Vec<Selected> {
+    let mut left = max_pieces;
+    let mut taken: Vec<Selected> = Vec::new();
+    let mut isolated = None;
     for candidate in candidates {
         let rank = candidate.rank;
-        let shares = match (alone, taken.is_empty()) {
-            (Some(alone), _) => alone == rank,
+        let shares = match (isolated, taken.is_empty()) {
+            (Some(isolated), _) => isolated == rank,
             (None, true) => true,
-            (None, false) => !goes_alone(rank),
+            (None, false) => !is_isolated(rank),
         };
         if !shares {
             continue;
         }
-        let is_home = candidate.home.as_ref().is_none_or(|home| *home == to.data_centre);
-        if candidate.waits_for_home && !is_home || !candidate.homes.have(to) {
+        let is_preferred =
+            candidate.preferred.as_ref().is_none_or(|preferred| *preferred == to.data_centre);
+        if candidate.only_preferred && !is_preferred || !candidate.allowed_regions.have(to) {
             continue;
         }
-        let fit = room.checked_div(candidate.bytes).map_or(usize::MAX, |fit| fit as usize);
+        let fit = free_bytes.checked_div(candidate.bytes).map_or(usize::MAX, |fit| fit as usize);
         let pieces = candidate.pieces.min(left).min(fit);
         let is_whole = pieces == candidate.pieces || taken.is_empty();
         if pieces > 0 && is_whole {
             left -= pieces;
-            room -= pieces as u64 * candidate.bytes;
-            taken.push(Taken { rank, skip: candidate.skip, pieces });
-            if alone.is_none() && taken.len() == 1 && goes_alone(rank) {
-                alone = Some(rank);
+            free_bytes -= pieces as u64 * candidate.bytes;
+            taken.push(Selected { rank, skip: candidate.skip, pieces });
+            if isolated.is_none() && taken.len() == 1 && is_isolated(rank) {
+                isolated = Some(rank);
             }
         }
         if left == 0 {
--- a/src/direct/owner/calls.rs
+++ b/src/direct/owner/calls.rs
@@ -10,7 +10,7 @@
 use crate::message::Timestamp;
 
 /// Time after which calls that a previous owner sent have ended.
-pub(super) const SETTLING: Duration = Duration::from_millis(1_500);
+pub(super) const TAKEOVER_PERIOD: Duration = Duration::from_millis(1_500);
 
 /// A piece: its job, the index of its stage and its index in the stage.
 pub(super) type PieceId = (JobId, usize, usize);
@@ -20,7 +20,7 @@
 
 /// A stage of a job that has pieces in a call.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Part {
+pub(super) struct CallStage {
     pub(super) job: JobId,
     pub(super) stage: usize,
     pub(super) run: Run,
@@ -34,11 +34,11 @@
     /// Pieces in the call, each with the size of its result in bytes.
     pub(super) pieces: Vec<(PieceId, u64)>,
     /// Stages that the pieces belong to, each listed once.
-    pub(super) parts: Vec<Part>,
+    pub(super) stages: Vec<CallStage>,
     pub(super) sent: Timestamp,
     pub(super) expected: Duration,
     /// Whether the call is overdue and its pieces were requeued.
-    pub(super) is_late: bool,
+    pub(super) is_abandoned: bool,
     /// Whether the endpoint is assumed to have fetched the inputs of the pieces.
     pub(super) has_fetched: bool,
 }
--- a/src/direct/owner/inspect.rs
+++ b/src/direct/owner/inspect.rs
@@ -5,10 +5,10 @@
 
 use crate::direct::log_events::ms;
 use crate::direct::owner::jobs::JobRun;
-use crate::direct::owner::pace::Pace;
-use crate::direct::owner::plan::{Basis, Filling, expected_runs, fillings};
+use crate::direct::owner::plan::{Filling, PlanContext, expected_runs, fillings};
 use crate::direct::owner::queue::Rank;
 use crate::direct::owner::scheduler::Scheduler;
+use crate::direct::owner::timings::PoolTimings;
 use crate::direct::peers::message::JobId;
 use crate::direct::published::model::Name;
 use crate::direct::published::table::Table;
@@ -49,7 +49,7 @@
 
     /// State of a pool, brought up to date; `None` if the ledger has no such pool yet.
     pub fn pool_state(&mut self, pool: &str, table: &Table, now: Timestamp) -> Option<PoolState> {
-        self.settle(table, now);
+        self.update_ledger(table, now);
         let pool = self.ledger.get_mut(pool)?;
         let homes = table.deployment.pools.iter().flat_map(|p| table.members(&p.name));
         let homes = homes.map(|e| (e.data_centre.clone(), pool.open_at(&e.data_centre)));
@@ -70,13 +70,13 @@
 
     /// Result memory that each stage of a job is expected to occupy, computed anew.
     pub fn planned(&self, run: &JobRun, table: &Table, now: Timestamp) -> Vec<Option<Filling>> {
-        let basis = Basis { paces: &self.paces, calls: &self.calls, table, now };
-        fillings(run, &expected_runs(run, basis))
+        let context = PlanContext { timings: &self.timings, calls: &self.calls, table, now };
+        fillings(run, &expected_runs(run, context))
     }
 
     /// Recent average wait for a call and duration of a call in a pool.
     pub fn pace(&self, pool: &str, table: &Table) -> Option<(Duration, Duration)> {
-        let pace: Pace = self.paces.get(pool, table.batch(pool)?);
-        Some((pace.wait(), pace.call()))
+        let pool_timings: PoolTimings = self.timings.get(pool, table.batch(pool)?);
+        Some((pool_timings.wait(), pool_timings.call()))
     }
 }
--- a/src/direct/owner/jobs.rs
+++ b/src/direct/owner/jobs.rs
@@ -19,14 +19,14 @@
     /// The piece waits for a call.
     Waiting {
         /// Earlier attempts that count against the limit.
-        tries: u32,
+        attempts: u32,
     },
     /// The piece is in a running call.
     Running {
         /// Number of the call.
         call: u64,
         /// Earlier attempts that count against the limit.
-        tries: u32,
+        attempts: u32,
     },
     /// The result was produced and is kept by an endpoint.
     Made(Made),
@@ -122,7 +122,7 @@
                 let pieces = if is_done {
                     stage.done.iter().cloned().map(Piece::Made).collect()
                 } else {
-                    vec![Piece::Waiting { tries: u32::from(job.resubmitted) }; stage.pieces]
+                    vec![Piece::Waiting { attempts: u32::from(job.resubmitted) }; stage.pieces]
                 };
                 StageRun { pieces, told: is_done, started: None, opened: None }
             })
--- a/src/direct/owner/ledger.rs
+++ b/src/direct/owner/ledger.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 
 use crate::direct::owner::bookings::{Booking, Bookings};
-use crate::direct::owner::free::Endpoints;
+use crate::direct::owner::endpoints::Endpoints;
 use crate::direct::owner::jobs::JobRun;
 use crate::direct::owner::queue::{Queue, Waiting};
 use crate::direct::published::model::Name;
@@ -22,7 +22,7 @@
     /// Pieces in running calls.
     pub(super) running: usize,
     /// Data centre that the pieces are bound to, if the stage exchanges large results.
-    pub(super) home: Option<Name>,
+    pub(super) heavy_data_centre: Option<Name>,
     /// Pieces that may be sent.
     pub(super) queued: Option<Waiting>,
     /// Result memory that the results occupy or will occupy.
@@ -34,7 +34,7 @@
 pub(super) struct Entry {
     pub(super) stages: Vec<StageEntry>,
     /// Time at which the entry must be refreshed even if the job does not change.
-    pub(super) review: Option<Timestamp>,
+    pub(super) refresh_at: Option<Timestamp>,
 }
 
 /// Totals of one pool.
@@ -55,11 +55,11 @@
         self.open_at.get(data_centre).copied().unwrap_or_default()
     }
 
-    fn enter(&mut self, entry: &StageEntry) {
+    fn add_entry(&mut self, entry: &StageEntry) {
         self.waiting += entry.waiting;
         self.running += entry.running;
-        if let Some(home) = &entry.home {
-            *self.open_at.entry(home.clone()).or_default() += entry.waiting + entry.running;
+        if let Some(data_centre) = &entry.heavy_data_centre {
+            *self.open_at.entry(data_centre.clone()).or_default() += entry.waiting + entry.running;
         }
         if let Some(queued) = &entry.queued {
             self.queue.add(queued);
@@ -69,10 +69,13 @@
         }
     }
 
-    fn take_out(&mut self, entry: &StageEntry) {
+    fn remove_entry(&mut self, entry: &StageEntry) {
         self.waiting -= entry.waiting;
         self.running -= entry.running;
-        let open = entry.home.as_ref().and_then(|home| self.open_at.get_mut(home));
+        let open = entry
+            .heavy_data_centre
+            .as_ref()
+            .and_then(|data_centre| self.open_at.get_mut(data_centre));
         if let Some(open) = open {
             *open -= entry.waiting + entry.running;
         }
@@ -125,10 +128,10 @@
             }
             let pool = self.pool(&spec.pool);
             if let Some(before) = before {
-                pool.take_out(before);
+                pool.remove_entry(before);
             }
             if let Some(after) = after {
-                pool.enter(after);
+                pool.add_entry(after);
             }
         }
     }
--- a/src/direct/owner/makers.rs
+++ b/src/direct/owner/makers.rs
@@ -13,30 +13,30 @@
 /// Time without calls to an endpoint that was full.
 const FULL_PAUSE: Duration = Duration::from_millis(40);
 /// Time without calls to an endpoint that had no memory for a result.
-const ROOM_PAUSE: Duration = Duration::from_millis(150);
+const NO_MEMORY_PAUSE: Duration = Duration::from_millis(150);
 /// Time for which an endpoint is avoided after its first failure; doubles with each failure in a
 /// row.
 const FIRST_AVOIDANCE: Duration = Duration::from_millis(800);
 /// Maximum time for which an endpoint is avoided.
 const LONGEST_AVOIDANCE: Duration = Duration::from_secs(5);
 /// Weight of a new measurement in the moving average.
-const NEW_WEIGHT: f64 = 0.3;
+const NEW_SAMPLE_WEIGHT: f64 = 0.3;
 /// An endpoint is avoided if it is slower than the median of its pool by this factor.
-const SLOW: f64 = 1.8;
+const SLOW_FACTOR: f64 = 1.8;
 /// An endpoint is compared with the current median of its pool only if it is slower than the cached
 /// median by this factor: while the endpoint is not slow, the cost of a call does not depend on the
 /// size of the pool.
-const DOUBTFUL: f64 = 1.4;
+const SLOW_CHECK_FACTOR: f64 = 1.4;
 /// Time for which the cached median slowness of a pool is used.
-const USUAL_KEPT: Duration = Duration::from_secs(1);
+const MEDIAN_MAX_AGE: Duration = Duration::from_secs(1);
 
 /// Time after which endpoints have dropped results that are not freed.
-const RUNS_OUT: Duration = Duration::from_secs(5);
+const RESULT_EXPIRY: Duration = Duration::from_secs(5);
 
 /// Bytes that are left of results that expire from `at` on, evenly over [`RESULT_EXPIRY`].
-fn rest(bytes: u64, at: Timestamp, now: Timestamp) -> u64 {
-    let gone = now.saturating_sub(at).as_secs_f64() / RUNS_OUT.as_secs_f64();
-    (bytes as f64 * (1.0 - gone).max(0.0)) as u64
+fn unexpired(bytes: u64, at: Timestamp, now: Timestamp) -> u64 {
+    let expired = now.saturating_sub(at).as_secs_f64() / RESULT_EXPIRY.as_secs_f64();
+    (bytes as f64 * (1.0 - expired).max(0.0)) as u64
 }
 
 /// What is recorded of one endpoint.
@@ -48,7 +48,7 @@
     pub used: u64,
     /// Bytes used by unknown owners, and when they were observed: the endpoint had less free memory
     /// than expected.
-    unknown: Option<(u64, Timestamp)>,
+    unattributed: Option<(u64, Timestamp)>,
     /// No calls are sent before this time.
     pub blocked_until: Timestamp,
     /// No calls are sent before this time unless all endpoints are avoided.
@@ -69,10 +69,10 @@
 
 /// Usage announced by another owner.
 #[derive(Debug)]
-struct Told {
+struct AnnouncedUsage {
     usage: HashMap<Name, u64>,
     /// Time when the owner was removed; from then on its results expire.
-    lost: Option<Timestamp>,
+    removed_at: Option<Timestamp>,
 }
 
 /// What an owner records of all its endpoints.
@@ -80,9 +80,9 @@
 pub struct Makers {
     makers: HashMap<Name, Maker>,
     /// Usage announced by other owners, by peer address.
-    told: HashMap<SocketAddr, Told>,
+    announced: HashMap<SocketAddr, AnnouncedUsage>,
     /// Cached median slowness of each pool, and when it was computed.
-    usual: HashMap<Name, (f64, Timestamp)>,
+    medians: HashMap<Name, (f64, Timestamp)>,
     /// Endpoints that changed since [`Self::take_changed`] was last called.
     changed: BTreeSet<Name>,
 }
@@ -94,7 +94,7 @@
     }
 
     /// Marks an endpoint as changed.
-    pub fn look_at(&mut self, endpoint: &Name) {
+    pub fn mark_changed(&mut self, endpoint: &Name) {
         self.changed.insert(endpoint.clone());
     }
 
@@ -105,13 +105,13 @@
 
     /// Whether the state of an endpoint changes with time alone.
     pub fn changes_with_time(&self, endpoint: &str, now: Timestamp) -> bool {
-        let runs_out = |at: Timestamp| now < at + RUNS_OUT;
-        let lost = self.told.values().filter(|t| t.usage.contains_key(endpoint));
-        lost.filter_map(|t| t.lost).any(runs_out)
+        let is_expiring = |at: Timestamp| now < at + RESULT_EXPIRY;
+        let removed = self.announced.values().filter(|t| t.usage.contains_key(endpoint));
+        removed.filter_map(|t| t.removed_at).any(is_expiring)
             || self.makers.get(endpoint).is_some_and(|maker| {
                 maker.blocked_until > now
                     || maker.avoided_until > now
-                    || maker.unknown.is_some_and(|(_, at)| runs_out(at))
+                    || maker.unattributed.is_some_and(|(_, at)| is_expiring(at))
             })
     }
 
@@ -147,12 +147,12 @@
     }
 
     /// Records that a call succeeded, and took `ratio` times its expected duration.
-    pub fn worked(&mut self, endpoint: &Name, ratio: f64) {
+    pub fn succeeded(&mut self, endpoint: &Name, ratio: f64) {
         let maker = self.entry(endpoint);
         maker.failures = 0;
         maker.avoided_until = Timestamp::ZERO;
         let before = maker.slowness.unwrap_or(ratio);
-        maker.slowness = Some(before + (ratio - before) * NEW_WEIGHT);
+        maker.slowness = Some(before + (ratio - before) * NEW_SAMPLE_WEIGHT);
     }
 
     /// Records that an endpoint is full.
@@ -164,9 +164,9 @@
     /// free: they are used by an unknown owner.
     pub fn no_room(&mut self, endpoint: &Name, left: u64, now: Timestamp) {
         let maker = self.entry(endpoint);
-        maker.blocked_until = now + ROOM_PAUSE;
-        let before = maker.unknown.map_or(0, |(bytes, at)| rest(bytes, at, now));
-        maker.unknown = Some((before + left, now));
+        maker.blocked_until = now + NO_MEMORY_PAUSE;
+        let before = maker.unattributed.map_or(0, |(bytes, at)| unexpired(bytes, at, now));
+        maker.unattributed = Some((before + left, now));
     }
 
     /// Records a report that `free` of `room` bytes are free at an endpoint; what this owner does
@@ -174,12 +174,12 @@
     pub fn reported(&mut self, endpoint: &Name, room: u64, free: u64, now: Timestamp) {
         let maker = self.entry(endpoint);
         let others = room.saturating_sub(free).saturating_sub(maker.used);
-        maker.unknown = (others > 0).then_some((others, now));
+        maker.unattributed = (others > 0).then_some((others, now));
     }
 
     /// Replaces the usage announced by another owner.
     pub fn told(&mut self, owner: SocketAddr, usage: Vec<Usage>) {
-        if let Some(before) = self.told.remove(&owner) {
+        if let Some(before) = self.announced.remove(&owner) {
             self.changed.extend(before.usage.into_keys());
         }
         if usage.is_empty() {
@@ -187,19 +187,19 @@
         }
         self.changed.extend(usage.iter().map(|u| u.endpoint.clone()));
         let usage = usage.into_iter().map(|u| (u.endpoint, u.bytes)).collect();
-        self.told.insert(owner, Told { usage, lost: None });
+        self.announced.insert(owner, AnnouncedUsage { usage, removed_at: None });
     }
 
     /// Whether another owner uses endpoints, or did so recently.
     pub fn is_shared(&self) -> bool {
-        !self.told.is_empty()
+        !self.announced.is_empty()
     }
 
     /// Records that another owner was removed: its results are freed by no one, and expire.
     pub fn owner_lost(&mut self, owner: SocketAddr, now: Timestamp) {
-        if let Some(told) = self.told.get_mut(&owner) {
-            told.lost.get_or_insert(now);
-            self.changed.extend(told.usage.keys().cloned());
+        if let Some(announced) = self.announced.get_mut(&owner) {
+            announced.removed_at.get_or_insert(now);
+            self.changed.extend(announced.usage.keys().cloned());
         }
     }
 
@@ -218,12 +218,13 @@
     /// Bytes of result memory that other owners use at an endpoint.
     pub fn of_others(&self, endpoint: &str, now: Timestamp) -> u64 {
         let maker = self.makers.get(endpoint);
-        let unknown = maker.and_then(|m| m.unknown).map_or(0, |(bytes, at)| rest(bytes, at, now));
-        let told = self.told.values().filter_map(|t| {
+        let unattributed =
+            maker.and_then(|m| m.unattributed).map_or(0, |(bytes, at)| unexpired(bytes, at, now));
+        let from_announcements = self.announced.values().filter_map(|t| {
             let bytes = *t.usage.get(endpoint)?;
-            Some(t.lost.map_or(bytes, |lost| rest(bytes, lost, now)))
+            Some(t.removed_at.map_or(bytes, |removed| unexpired(bytes, removed, now)))
         });
-        unknown.max(told.sum())
+        unattributed.max(from_announcements.sum())
     }
 
     /// Records a failure; the endpoint is avoided for a while.
@@ -245,15 +246,15 @@
         let Some(own) = self.get(endpoint).slowness else {
             return false;
         };
-        let usual = self.usual.get(name).filter(|(_, at)| now < *at + USUAL_KEPT);
-        if usual.is_some_and(|(usual, _)| own < usual * DOUBTFUL) {
+        let cached = self.medians.get(name).filter(|(_, at)| now < *at + MEDIAN_MAX_AGE);
+        if cached.is_some_and(|(cached, _)| own < cached * SLOW_CHECK_FACTOR) {
             return false;
         }
         let Some(median) = self.median_slowness(pool, endpoint) else {
             return false;
         };
-        self.usual.insert(name.clone(), (median, now));
-        if own < median * SLOW {
+        self.medians.insert(name.clone(), (median, now));
+        if own < median * SLOW_FACTOR {
             return false;
         }
         // The moving average starts anew, so that one fast call is enough to use the endpoint
@@ -273,10 +274,11 @@
     }
 
     /// Removes the usage of removed owners once it has expired.
-    pub fn tidy(&mut self, now: Timestamp) {
-        let has_run_out = |t: &Told| t.lost.is_some_and(|lost| now >= lost + RUNS_OUT);
-        for (_, over) in self.told.extract_if(|_, t| has_run_out(t)) {
-            self.changed.extend(over.usage.into_keys());
+    pub fn expire(&mut self, now: Timestamp) {
+        let has_expired =
+            |t: &AnnouncedUsage| t.removed_at.is_some_and(|removed| now >= removed + RESULT_EXPIRY);
+        for (_, expired) in self.announced.extract_if(|_, t| has_expired(t)) {
+            self.changed.extend(expired.usage.into_keys());
         }
     }
 
@@ -284,8 +286,8 @@
     /// owner.
     pub fn restarted(&mut self, endpoint: &Name) {
         self.makers.remove(endpoint);
-        for told in self.told.values_mut() {
-            told.usage.remove(endpoint);
+        for announced in self.announced.values_mut() {
+            announced.usage.remove(endpoint);
         }
         self.changed.insert(endpoint.clone());
     }
--- a/src/direct/owner/mod.rs
+++ b/src/direct/owner/mod.rs
@@ -23,19 +23,17 @@
 //! The cost of a job depends on its own stages and on the logarithm of the number of active jobs.
 
 mod admission;
+mod batching;
 mod bookings;
 mod calls;
-mod due;
+mod endpoints;
 mod entry;
-mod filling;
-mod free;
 pub mod inspect;
 pub mod jobs;
 mod ledger;
 pub mod makers;
 mod outcomes;
 pub mod owners;
-mod pace;
 mod pauses;
 mod permits;
 mod plan;
@@ -43,3 +41,5 @@
 mod queue;
 mod restarts;
 pub mod scheduler;
+mod timers;
+mod timings;
--- a/src/direct/owner/outcomes.rs
+++ b/src/direct/owner/outcomes.rs
@@ -6,7 +6,7 @@
 use crate::direct::answers::{BatchOutcome, CallFailure, PieceOutcome};
 use crate::direct::event::Action;
 use crate::direct::log_events::{LogEvent, ms};
-use crate::direct::owner::calls::{Call, PieceId, SETTLING};
+use crate::direct::owner::calls::{Call, PieceId, TAKEOVER_PERIOD};
 use crate::direct::owner::jobs::Piece;
 use crate::direct::owner::scheduler::Scheduler;
 use crate::direct::peers::message::{JobId, JobReason, Made};
@@ -16,10 +16,10 @@
 use crate::message::Timestamp;
 
 /// A job fails if one of its pieces has had this many attempts.
-const MAX_TRIES: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 /// Gateways that may repeat calls with pieces of a cell at the same time: its owner and the
 /// previous one.
-pub(super) const OWNERS: usize = 2;
+pub(super) const OWNERS_PER_CELL: usize = 2;
 
 impl Scheduler {
     /// Handles the end of a call.
@@ -40,30 +40,30 @@
             BatchOutcome::Pieces(outcomes) => {
                 if call.sent >= self.resumed_at {
                     if let Some(spec) = table.batch(&call.pool) {
-                        self.paces.called(&call.pool, spec, took);
+                        self.timings.record_call(&call.pool, spec, took);
                     }
-                    self.judge_speed(&call, took, table, now);
+                    self.check_speed(&call, took, table, now);
                 }
                 self.report_success(&call, &outcomes);
-                self.pieces_ended(&call, id, outcomes, table, now);
+                self.handle_pieces(&call, id, outcomes, table, now);
             }
             BatchOutcome::Full | BatchOutcome::Failed(CallFailure::TurnedAway) => {
                 self.makers.full(&call.endpoint.id, now);
-                self.put_back(&call, id, false, table, now);
+                self.requeue_pieces(&call, id, false, table, now);
             }
             BatchOutcome::Failed(CallFailure::Withheld) => {
-                self.put_back(&call, id, false, table, now);
+                self.requeue_pieces(&call, id, false, table, now);
             }
             BatchOutcome::OtherEndpoint | BatchOutcome::Failed(CallFailure::NotSent) => {
                 self.avoid(&call.endpoint.id, "unreachable", now);
-                self.put_back(&call, id, false, table, now);
+                self.requeue_pieces(&call, id, false, table, now);
             }
             BatchOutcome::Failed(failure) => {
                 let is_silent = failure == CallFailure::Silent;
                 let how = if is_silent { Unanswered::Silent } else { Unanswered::Broken };
                 self.report_unanswered(&call, how);
                 self.avoid(&call.endpoint.id, "broken", now);
-                self.put_back(&call, id, true, table, now);
+                self.requeue_pieces(&call, id, true, table, now);
             }
         }
     }
@@ -74,7 +74,7 @@
         self.out.push(Action::Log(LogEvent::Suspicion { endpoint, avoided: true, cause }));
     }
 
-    pub(super) fn judge_speed(
+    pub(super) fn check_speed(
         &mut self,
         call: &Call,
         took: Duration,
@@ -82,11 +82,11 @@
         now: Timestamp,
     ) {
         // Early calls may have queued behind those of the previous owner.
-        if call.sent < self.owner_since + SETTLING {
+        if call.sent < self.active_since + TAKEOVER_PERIOD {
             return;
         }
         let ratio = took.as_secs_f64() / call.expected.as_secs_f64().max(0.001);
-        self.makers.worked(&call.endpoint.id, ratio);
+        self.makers.succeeded(&call.endpoint.id, ratio);
         let pool = table.members(&call.pool);
         if self.makers.avoid_if_slow(&call.endpoint.id, &call.pool, pool, now) {
             let endpoint = call.endpoint.id.clone();
@@ -95,7 +95,7 @@
         }
     }
 
-    pub(super) fn pieces_ended(
+    pub(super) fn handle_pieces(
         &mut self,
         call: &Call,
         id: u64,
@@ -110,7 +110,7 @@
             let (job, stage, _) = piece;
             if let PieceOutcome::Made(handle) = outcome {
                 let made = Made { handle, endpoint: call.endpoint.id.clone() };
-                self.made(piece, bytes, made, table);
+                self.piece_produced(piece, bytes, made, table);
                 continue;
             }
             self.makers.freed(&call.endpoint.id, bytes);
@@ -123,16 +123,16 @@
                     let left = self.makers.left(&call.endpoint.id, room, now);
                     self.makers.no_room(&call.endpoint.id, left, now);
                     no_room = true;
-                    self.wait_again(piece, true, table, now);
+                    self.requeue(piece, true, table, now);
                 }
-                PieceOutcome::Failed => self.wait_again(piece, true, table, now),
-                PieceOutcome::InputGone => self.make_inputs_again(job, stage, table, now),
+                PieceOutcome::Failed => self.requeue(piece, true, table, now),
+                PieceOutcome::InputGone => self.rerun_inputs(job, stage, table, now),
                 PieceOutcome::Late | PieceOutcome::Made(_) => {
-                    self.give_up(job, JobReason::DeadlinePassed, table);
+                    self.cancel_job(job, JobReason::DeadlinePassed, table);
                 }
             }
         }
-        if no_room && self.may_be_asked(&call.endpoint, table, now) {
+        if no_room && self.may_ask_report(&call.endpoint, table, now) {
             self.out.push(Action::RequestReport(call.endpoint.clone()));
         }
         for job in call.jobs() {
@@ -140,7 +140,7 @@
         }
     }
 
-    pub(super) fn made(
+    pub(super) fn piece_produced(
         &mut self,
         (job, stage, piece): PieceId,
         bytes: u64,
@@ -153,7 +153,7 @@
             Some(slot @ (Piece::Running { .. } | Piece::Waiting { .. })) => {
                 *slot = Piece::Made(made)
             }
-            _ => self.free(&made, bytes, table),
+            _ => self.free_result(&made, bytes, table),
         }
     }
 
@@ -164,7 +164,7 @@
     }
 
     /// Requeues every unfinished piece of a failed call.
-    pub(super) fn put_back(
+    pub(super) fn requeue_pieces(
         &mut self,
         call: &Call,
         id: u64,
@@ -175,14 +175,14 @@
         for &(piece, bytes) in &call.pieces {
             self.makers.freed(&call.endpoint.id, bytes);
             if self.is_running(piece, id) {
-                self.wait_again(piece, may_have_run, table, now);
+                self.requeue(piece, may_have_run, table, now);
             }
         }
     }
 
     /// Requeues a piece if its attempts and the repeat budget allow it, and cancels its job
     /// otherwise. `counts` is whether the attempt counts against the limit.
-    pub(super) fn wait_again(
+    pub(super) fn requeue(
         &mut self,
         (job, stage, piece): PieceId,
         counts: bool,
@@ -193,48 +193,42 @@
             return;
         };
         let slot = &mut run.stages[stage].pieces[piece];
-        let Piece::Running { tries, .. } = *slot else {
+        let Piece::Running { attempts, .. } = *slot else {
             return;
         };
-        let tries = tries + u32::from(counts);
-        *slot = Piece::Waiting { tries };
+        let attempts = attempts + u32::from(counts);
+        *slot = Piece::Waiting { attempts };
         let lacks_inputs = run.lacks_inputs(stage);
         let pool = run.job.stages[stage].pool.clone();
-        if tries >= MAX_TRIES {
-            return self.give_up(job, JobReason::Failed, table);
+        if attempts >= MAX_ATTEMPTS {
+            return self.cancel_job(job, JobReason::Failed, table);
         }
         // The budget is also charged for pieces that were refused, because they are sent twice,
         // too.
-        if !self.takes_repeat(&pool, table, now) {
-            return self.give_up(job, JobReason::RepeatBudget, table);
+        if !self.take_repeat(&pool, table, now) {
+            return self.cancel_job(job, JobReason::RepeatBudget, table);
         }
         self.dirty.insert(pool);
         if lacks_inputs {
-            self.make_inputs_again(job, stage, table, now);
+            self.rerun_inputs(job, stage, table, now);
         }
     }
 
     /// Takes a repeat from the budget of a pool; returns whether there was one.
-    pub(super) fn takes_repeat(&mut self, pool: &Name, table: &Table, now: Timestamp) -> bool {
-        let owners = OWNERS * table.cells().names().len();
+    pub(super) fn take_repeat(&mut self, pool: &Name, table: &Table, now: Timestamp) -> bool {
+        let owners = OWNERS_PER_CELL * table.cells().names().len();
         self.repeats.take(pool, owners, now)
     }
 
     /// Handles the loss of an input of a stage: the stages before it run again, and so do those
     /// before them whose own results were used and freed.
-    pub(super) fn make_inputs_again(
-        &mut self,
-        job: JobId,
-        stage: usize,
-        table: &Table,
-        now: Timestamp,
-    ) {
+    pub(super) fn rerun_inputs(&mut self, job: JobId, stage: usize, table: &Table, now: Timestamp) {
         let Some(run) = self.job_mut(job) else {
             return;
         };
         for piece in &mut run.stages[stage].pieces {
-            if let Piece::Running { tries, .. } = *piece {
-                *piece = Piece::Waiting { tries: tries + 1 };
+            if let Piece::Running { attempts, .. } = *piece {
+                *piece = Piece::Waiting { attempts: attempts + 1 };
             }
         }
         let mut freed = Vec::new();
@@ -245,30 +239,30 @@
                 if let Piece::Made(made) = piece {
                     freed.push((made.clone(), spec.result_bytes));
                 }
-                *piece = Piece::Waiting { tries: MAX_TRIES - 1 };
+                *piece = Piece::Waiting { attempts: MAX_ATTEMPTS - 1 };
                 again.push(spec.pool.clone());
             }
             run.stages[index].told = false;
         }
         for (made, bytes) in freed {
-            self.free(&made, bytes, table);
+            self.free_result(&made, bytes, table);
         }
         self.dirty.extend(again.iter().cloned());
-        if !again.iter().all(|pool| self.takes_repeat(pool, table, now)) {
-            self.give_up(job, JobReason::RepeatBudget, table);
+        if !again.iter().all(|pool| self.take_repeat(pool, table, now)) {
+            self.cancel_job(job, JobReason::RepeatBudget, table);
         }
     }
 
-    pub(super) fn give_up_call(&mut self, id: u64, table: &Table, now: Timestamp) {
+    pub(super) fn abandon_call(&mut self, id: u64, table: &Table, now: Timestamp) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        call.is_late = true;
+        call.is_abandoned = true;
         let (endpoint, pieces) = (call.endpoint.id.clone(), call.pieces.clone());
         self.avoid(&endpoint, "overdue", now);
         for (piece, _) in pieces {
             if self.is_running(piece, id) {
-                self.wait_again(piece, true, table, now);
+                self.requeue(piece, true, table, now);
             }
         }
     }
--- a/src/direct/owner/owners.rs
+++ b/src/direct/owner/owners.rs
@@ -22,7 +22,7 @@
 use crate::message::Timestamp;
 
 /// Distance between the first call numbers of two cells.
-const CALLS: u64 = 1 << 48;
+const CALLS_PER_CELL: u64 = 1 << 48;
 
 /// One scheduler for each owned cell, created on first use.
 #[derive(Debug)]
@@ -30,8 +30,8 @@
     bounds: Bounds,
     cells: BTreeMap<Name, Scheduler>,
     /// Usage announced by other owners, for new schedulers.
-    told: HashMap<SocketAddr, Vec<Usage>>,
-    lateness: Duration,
+    announced: HashMap<SocketAddr, Vec<Usage>>,
+    event_lag: Duration,
     /// Cold endpoints, for new schedulers.
     cold: ColdEndpoints,
     /// Fingerprints under which endpoints crashed, for new schedulers.
@@ -40,29 +40,29 @@
     backoffs: Arc<Backoffs>,
     /// Rate limits announced by endpoints, for new schedulers.
     limits: Arc<KnownLimits>,
-    begun: u64,
+    created: u64,
 }
 
 impl Owners {
     /// Creates an instance without schedulers.
     pub fn new(own: SocketAddr, bounds: Bounds) -> Self {
-        let (cells, told) = Default::default();
+        let (cells, announced) = Default::default();
         let cold = ColdEndpoints::new(own);
-        let (lateness, suspects) = (Duration::ZERO, Arc::default());
+        let (event_lag, suspects) = (Duration::ZERO, Arc::default());
         let backoffs = Arc::new(Backoffs::new(own));
         let limits = Arc::default();
-        Self { bounds, cells, told, lateness, cold, suspects, backoffs, limits, begun: 0 }
+        Self { bounds, cells, announced, event_lag, cold, suspects, backoffs, limits, created: 0 }
     }
 
     /// Sets the event lag of this process.
-    pub fn set_lateness(&mut self, lateness: Duration) {
-        self.lateness = lateness;
-        self.each(|owner| owner.set_lateness(lateness));
+    pub fn set_lateness(&mut self, event_lag: Duration) {
+        self.event_lag = event_lag;
+        self.for_each(|owner| owner.set_lateness(event_lag));
     }
 
     /// Handles the end of a suspension of this process.
     pub fn on_suspension(&mut self, now: Timestamp) {
-        self.each(|owner| owner.on_suspension(now));
+        self.for_each(|owner| owner.on_suspension(now));
     }
 
     /// Replaces the fingerprints under which endpoints crashed; jobs of those in `quarantined`,
@@ -74,7 +74,7 @@
         table: &Table,
     ) {
         self.suspects = suspects.clone();
-        self.each(|owner| {
+        self.for_each(|owner| {
             owner.set_suspects(suspects.clone());
             owner.quarantined(quarantined, table);
         });
@@ -102,25 +102,25 @@
 
     /// The scheduler of a cell, created if there is none.
     fn cell(&mut self, cell: &Name, table: &Table) -> &mut Scheduler {
-        let (bounds, begun, lateness) = (self.bounds, &mut self.begun, self.lateness);
-        let (told, cold, suspects) = (&self.told, &self.cold, &self.suspects);
+        let (bounds, created, event_lag) = (self.bounds, &mut self.created, self.event_lag);
+        let (announced, cold, suspects) = (&self.announced, &self.cold, &self.suspects);
         let (backoffs, limits) = (&self.backoffs, &self.limits);
         self.cells.entry(cell.clone()).or_insert_with(|| {
-            let first_call = *begun * CALLS;
+            let first_call = *created * CALLS_PER_CELL;
             let mut owner = Scheduler::of_cell(cell.clone(), bounds, first_call, cold.clone());
-            *begun += 1;
-            owner.set_lateness(lateness);
+            *created += 1;
+            owner.set_lateness(event_lag);
             owner.set_suspects(suspects.clone());
             owner.backoffs = backoffs.clone();
             owner.limits = limits.clone();
-            for (other, usage) in told {
+            for (other, usage) in announced {
                 owner.told_usage(*other, usage.clone(), table);
             }
             owner
         })
     }
 
-    fn each(&mut self, act: impl FnMut(&mut Scheduler)) {
+    fn for_each(&mut self, act: impl FnMut(&mut Scheduler)) {
         self.cells.values_mut().for_each(act);
     }
 
@@ -146,7 +146,7 @@
         table: &Table,
         now: Timestamp,
     ) {
-        self.each(|owner| owner.reported(endpoint, report, table, now));
+        self.for_each(|owner| owner.reported(endpoint, report, table, now));
     }
 
     /// Asks the endpoints of a cell that this gateway begins to own for reports.
@@ -156,33 +156,33 @@
 
     /// Handles the usage announced by another owner.
     pub fn told_usage(&mut self, owner: SocketAddr, usage: Vec<Usage>, table: &Table) {
-        self.each(|cell| cell.told_usage(owner, usage.clone(), table));
+        self.for_each(|cell| cell.told_usage(owner, usage.clone(), table));
         if usage.is_empty() {
-            self.told.remove(&owner);
+            self.announced.remove(&owner);
         } else {
-            self.told.insert(owner, usage);
+            self.announced.insert(owner, usage);
         }
     }
 
     /// Handles the removal of another owner.
     pub fn owner_lost(&mut self, owner: SocketAddr, now: Timestamp) {
-        self.told.remove(&owner);
-        self.each(|cell| cell.owner_lost(owner, now));
+        self.announced.remove(&owner);
+        self.for_each(|cell| cell.owner_lost(owner, now));
     }
 
     /// Releases a job whose results are no longer needed.
     pub fn release(&mut self, job: JobId, table: &Table) {
-        self.each(|owner| owner.release(job, table));
+        self.for_each(|owner| owner.release(job, table));
     }
 
     /// Releases all jobs of a gateway that was removed.
     pub fn release_all_of(&mut self, gateway: SocketAddr, incarnation: u64, table: &Table) {
-        self.each(|owner| owner.release_all_of(gateway, incarnation, table));
+        self.for_each(|owner| owner.release_all_of(gateway, incarnation, table));
     }
 
     /// Notifies other gateways, before this process ends, that it no longer owns their jobs.
     pub fn end_all(&mut self, own: SocketAddr) {
-        self.each(|owner| owner.end_all(own));
+        self.for_each(|owner| owner.end_all(own));
     }
 
     /// Handles changes of endpoints or of the configuration.
@@ -194,7 +194,7 @@
         now: Timestamp,
     ) {
         self.cold.learn(table, entered, now);
-        self.each(|owner| {
+        self.for_each(|owner| {
             owner.changed(table);
             owner.cold.learn(table, entered, now);
             for endpoint in &merged.restarted {
@@ -206,9 +206,9 @@
     /// Handles the announcement of an endpoint, made at `at`, that it stays cold for `left`.
     pub fn told_cold(&mut self, endpoint: &Endpoint, left: Duration, at: Timestamp) {
         self.cold.told(endpoint, left, at);
-        self.each(|owner| {
+        self.for_each(|owner| {
             owner.cold.told(endpoint, left, at);
-            owner.makers.look_at(&endpoint.id);
+            owner.makers.mark_changed(&endpoint.id);
         });
     }
 
@@ -221,7 +221,7 @@
         now: Timestamp,
     ) {
         self.backoffs = backoffs.clone();
-        self.each(|owner| {
+        self.for_each(|owner| {
             owner.backoffs = backoffs.clone();
             owner.paused(endpoint, table, now);
         });
@@ -230,7 +230,7 @@
     /// Replaces the rate limits announced by endpoints.
     pub fn set_limits(&mut self, limits: &Arc<KnownLimits>, table: &Table, now: Timestamp) {
         self.limits = limits.clone();
-        self.each(|owner| owner.set_limits(limits, table, now));
+        self.for_each(|owner| owner.set_limits(limits, table, now));
     }
 
     /// Handles a permit that is valid until `until`.
@@ -241,7 +241,7 @@
         until: Timestamp,
         table: &Table,
     ) {
-        self.each(|owner| owner.permit_given(endpoint, purpose, until, table));
+        self.for_each(|owner| owner.permit_given(endpoint, purpose, until, table));
     }
 
     /// Handles the refusal of a permit; its turn would be at `turn`.
@@ -252,24 +252,24 @@
         priority: u8,
         turn: Timestamp,
     ) {
-        self.each(|owner| owner.permit_refused(endpoint, purpose, priority, turn));
+        self.for_each(|owner| owner.permit_refused(endpoint, purpose, priority, turn));
     }
 
     /// Handles the return of data centres whose evacuation was withdrawn.
     pub fn return_of(&mut self, data_centres: &BTreeSet<Name>, table: &Table, now: Timestamp) {
         self.cold.return_of(data_centres, table, now);
-        self.each(|owner| owner.cold.return_of(data_centres, table, now));
+        self.for_each(|owner| owner.cold.return_of(data_centres, table, now));
     }
 
     /// Runs timers that are due.
     pub fn look(&mut self, table: &Table, now: Timestamp) {
-        self.each(|owner| owner.look(table, now));
+        self.for_each(|owner| owner.look(table, now));
     }
 
     /// Takes the actions to perform.
     pub fn actions(&mut self, table: &Table, now: Timestamp) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.each(|owner| actions.extend(owner.actions(table, now)));
+        self.for_each(|owner| actions.extend(owner.actions(table, now)));
         actions
     }
 }
--- a/src/direct/owner/pauses.rs
+++ b/src/direct/owner/pauses.rs
@@ -16,18 +16,23 @@
     /// cancelled if no other endpoint of the pool is available before the job's deadline; its
     /// gateway is sent the time until one is.
     pub(super) fn paused(&mut self, endpoint: &Endpoint, table: &Table, now: Timestamp) {
-        self.makers.look_at(&endpoint.id);
+        self.makers.mark_changed(&endpoint.id);
         let pools: Vec<Name> = table.batch_pools_of(&endpoint.id).cloned().collect();
         for pool in pools {
-            if let Some(pause) = self.pause_of(&pool, table, now) {
-                self.give_up_hopeless(&pool, pause, table, now);
+            if let Some(pause) = self.pool_pause(&pool, table, now) {
+                self.cancel_unservable(&pool, pause, table, now);
             }
         }
     }
 
     /// Time until an endpoint of a pool accepts calls again; `None` if one does so now or if there
     /// are none.
-    pub(super) fn pause_of(&self, pool: &Name, table: &Table, now: Timestamp) -> Option<Duration> {
+    pub(super) fn pool_pause(
+        &self,
+        pool: &Name,
+        table: &Table,
+        now: Timestamp,
+    ) -> Option<Duration> {
         table.batch(pool)?;
         let members = table.members(pool).iter().filter(|e| !e.leaving);
         let own = members.filter(|e| self.calls_endpoint(e, table));
@@ -35,8 +40,8 @@
         Some(until.saturating_sub(now)).filter(|pause| !pause.is_zero())
     }
 
-    fn give_up_hopeless(&mut self, pool: &Name, pause: Duration, table: &Table, now: Timestamp) {
-        let is_hopeless = |id: &JobId| {
+    fn cancel_unservable(&mut self, pool: &Name, pause: Duration, table: &Table, now: Timestamp) {
+        let is_unservable = |id: &JobId| {
             self.jobs.get(id).is_some_and(|run| {
                 let stages = run.job.stages.iter().zip(&run.stages);
                 let mut waiting = stages.filter(|(spec, _)| spec.pool == *pool);
@@ -44,15 +49,16 @@
                 run.deadline <= now + pause && waiting.any(|(_, s)| s.pieces.iter().any(waits))
             })
         };
-        let hopeless: Vec<JobId> = self.jobs.keys().filter(|id| is_hopeless(id)).copied().collect();
-        for id in hopeless {
+        let unservable: Vec<JobId> =
+            self.jobs.keys().filter(|id| is_unservable(id)).copied().collect();
+        for id in unservable {
             self.release(id, table);
-            self.tell_given_up(id, JobReason::NoEndpoint, false, pause);
+            self.send_given_up(id, JobReason::NoEndpoint, false, pause);
         }
     }
 
     /// Whether an endpoint may be asked for a report.
-    pub(super) fn may_be_asked(&self, called: &Endpoint, table: &Table, now: Timestamp) -> bool {
+    pub(super) fn may_ask_report(&self, called: &Endpoint, table: &Table, now: Timestamp) -> bool {
         let is_leaving = table.endpoint(&called.id).is_none_or(|endpoint| endpoint.leaving);
         let is_limited = self.limits.rate(called, now).is_some();
         !is_leaving && !is_limited && self.backoffs.until(called, now).is_none()
@@ -60,7 +66,7 @@
 
     /// Sends endpoints the handles of results that they may free; paused endpoints are left out,
     /// and those with a rate limit need a permit.
-    pub(super) fn free_what_may_be(&mut self, now: Timestamp) {
+    pub(super) fn free_results(&mut self, now: Timestamp) {
         if self.to_free.is_empty() {
             return;
         }
--- a/src/direct/owner/permits.rs
+++ b/src/direct/owner/permits.rs
@@ -20,48 +20,48 @@
 use crate::message::Timestamp;
 
 /// Priority of calls, the highest: the priorities of the jobs were taken into account at admission.
-const CALLS: u8 = 0;
+const CALL_PRIORITY: u8 = 0;
 /// Priority of requests to free results, the lowest: results that are not freed expire.
-const FREED: u8 = u8::MAX;
+const FREE_PRIORITY: u8 = u8::MAX;
 /// Results are freed with at most one in this many turns of an endpoint: freeing those of each call
 /// separately would take half of the turns.
-const FREED_ONE_IN: f64 = 10.0;
+const TURNS_PER_FREE: f64 = 10.0;
 /// Time for which an owner waits for a turn before it checks again what is waiting.
-const WAIT: Duration = Duration::from_secs(1);
+const TURN_WAIT: Duration = Duration::from_secs(1);
 /// A permit that expires within this time is not used: the call must be sent while its permit is
 /// valid.
-const MARGIN: Duration = Duration::from_millis(100);
+const EXPIRY_MARGIN: Duration = Duration::from_millis(100);
 /// Share of the time to a job's deadline that may pass until the last of its pieces has a turn.
-const TIME_TO_WAIT: f64 = 0.5;
+const MAX_WAIT_SHARE: f64 = 0.5;
 
 /// Permits that an owner has asked for, holds or was refused.
 #[derive(Debug, Default)]
 pub(super) struct Permits {
     /// Pending requests for permits, by endpoint and purpose.
-    asked: Vec<(Name, Purpose)>,
+    pending: Vec<(Name, Purpose)>,
     /// Permits held for calls, and when they expire.
-    given: HashMap<Name, Timestamp>,
+    granted: HashMap<Name, Timestamp>,
     /// Time when a permit to free results was last asked for, by endpoint.
-    freed: HashMap<Name, Timestamp>,
+    last_free: HashMap<Name, Timestamp>,
     turns: Turns,
 }
 
 impl Permits {
-    fn is_asked(&self, endpoint: &Name, purpose: Purpose) -> bool {
-        self.asked.iter().any(|(id, asked)| id == endpoint && *asked == purpose)
+    fn is_pending(&self, endpoint: &Name, purpose: Purpose) -> bool {
+        self.pending.iter().any(|(id, asked)| id == endpoint && *asked == purpose)
     }
 
     /// Forgets endpoints that are no longer listed.
     pub(super) fn retain(&mut self, listed: impl Fn(&str) -> bool) {
-        self.given.retain(|id, _| listed(id));
-        self.freed.retain(|id, _| listed(id));
+        self.granted.retain(|id, _| listed(id));
+        self.last_free.retain(|id, _| listed(id));
         self.turns.retain(listed);
     }
 
-    fn decided(&mut self, endpoint: &Name, purpose: Purpose) -> bool {
-        let before = self.asked.len();
-        self.asked.retain(|(id, asked)| id != endpoint || *asked != purpose);
-        self.asked.len() < before
+    fn remove_pending(&mut self, endpoint: &Name, purpose: Purpose) -> bool {
+        let before = self.pending.len();
+        self.pending.retain(|(id, asked)| id != endpoint || *asked != purpose);
+        self.pending.len() < before
     }
 }
 
@@ -71,24 +71,25 @@
     pub(super) fn set_limits(&mut self, limits: &Arc<KnownLimits>, table: &Table, now: Timestamp) {
         self.limits = limits.clone();
         for (id, _) in limits.lives() {
-            self.makers.look_at(id);
+            self.makers.mark_changed(id);
         }
         let pools: Vec<Name> =
             table.deployment.pools.iter().map(|pool| pool.name.clone()).collect();
         for pool in pools {
-            self.give_up_beyond_turns(&pool, table, now);
+            self.cancel_beyond_turns(&pool, table, now);
         }
     }
 
     /// Whether the rate limit of an endpoint, if it has one, allows a call.
     pub(super) fn is_permitted(&self, endpoint: &Endpoint, now: Timestamp) -> bool {
-        let given = self.permits.given.get(&endpoint.id);
-        self.limits.rate(endpoint, now).is_none() || given.is_some_and(|u| now + MARGIN < *u)
+        let granted = self.permits.granted.get(&endpoint.id);
+        self.limits.rate(endpoint, now).is_none()
+            || granted.is_some_and(|u| now + EXPIRY_MARGIN < *u)
     }
 
     /// Takes the permit for a call that is being sent.
     pub(super) fn take_permit(&mut self, endpoint: &Endpoint) -> Option<Timestamp> {
-        self.permits.given.remove(&endpoint.id)
+        self.permits.granted.remove(&endpoint.id)
     }
 
     /// Asks for permits for rate-limited endpoints that could run waiting pieces.
@@ -99,32 +100,37 @@
         let limits = self.limits.clone();
         for (id, incarnation) in limits.lives() {
             let endpoint = table.endpoint(id).filter(|e| e.incarnation == incarnation);
-            let Some(endpoint) = endpoint.filter(|e| self.wants_permit(e, table, now)) else {
+            let Some(endpoint) = endpoint.filter(|e| self.needs_permit(e, table, now)) else {
                 continue;
             };
-            self.want(endpoint.clone(), Purpose::Pieces, CALLS);
+            self.ask_permit(endpoint.clone(), Purpose::Pieces, CALL_PRIORITY);
         }
     }
 
-    fn wants_permit(&self, endpoint: &Arc<Endpoint>, table: &Table, now: Timestamp) -> bool {
+    fn needs_permit(&self, endpoint: &Arc<Endpoint>, table: &Table, now: Timestamp) -> bool {
         let id = &endpoint.id;
         let has_work = |pool: &Name| {
-            let is_free = table.batch(pool).is_some_and(|s| self.standing(id, s, now).is_free);
+            let is_free = table.batch(pool).is_some_and(|s| self.state_of(id, s, now).is_free);
             is_free && self.ledger.get(pool).is_some_and(|pool| !pool.queue.is_empty())
         };
         self.limits.rate(endpoint, now).is_some()
             && !endpoint.leaving
             && !self.is_permitted(endpoint, now)
-            && !self.permits.is_asked(id, Purpose::Pieces)
-            && self.permits.turns.turn(endpoint, CALLS, now).is_none()
+            && !self.permits.is_pending(id, Purpose::Pieces)
+            && self.permits.turns.turn(endpoint, CALL_PRIORITY, now).is_none()
             && self.backoffs.until(endpoint, now).is_none()
             && self.calls_endpoint(endpoint, table)
             && table.batch_pools_of(id).any(has_work)
     }
 
-    fn want(&mut self, endpoint: Arc<Endpoint>, purpose: Purpose, priority: u8) {
-        self.permits.asked.push((endpoint.id.clone(), purpose));
-        self.out.push(Action::RequestPermit(Wanted { endpoint, purpose, priority, wait: WAIT }));
+    fn ask_permit(&mut self, endpoint: Arc<Endpoint>, purpose: Purpose, priority: u8) {
+        self.permits.pending.push((endpoint.id.clone(), purpose));
+        self.out.push(Action::RequestPermit(Wanted {
+            endpoint,
+            purpose,
+            priority,
+            wait: TURN_WAIT,
+        }));
     }
 
     /// Handles a permit that is valid until `until`.
@@ -135,7 +141,7 @@
         until: Timestamp,
         table: &Table,
     ) {
-        if !self.permits.decided(&endpoint.id, purpose) {
+        if !self.permits.remove_pending(&endpoint.id, purpose) {
             return;
         }
         if purpose == Purpose::Free {
@@ -145,8 +151,8 @@
                 freed.map(|(endpoint, handles)| Action::FreeResults { endpoint, handles, permit });
             return self.out.extend(free);
         }
-        self.permits.given.insert(endpoint.id.clone(), until);
-        self.makers.look_at(&endpoint.id);
+        self.permits.granted.insert(endpoint.id.clone(), until);
+        self.makers.mark_changed(&endpoint.id);
         self.dirty.extend(table.batch_pools_of(&endpoint.id).cloned());
     }
 
@@ -158,7 +164,7 @@
         priority: u8,
         turn: Timestamp,
     ) {
-        if self.permits.decided(&endpoint.id, purpose) {
+        if self.permits.remove_pending(&endpoint.id, purpose) {
             self.permits.turns.refused(endpoint, priority, turn);
         }
     }
@@ -169,24 +175,24 @@
             return;
         }
         let limited = self.to_free.values().map(|(endpoint, _)| endpoint);
-        let limited = limited.filter(|endpoint| self.may_be_told_what_is_free(endpoint, now));
+        let limited = limited.filter(|endpoint| self.may_free_results(endpoint, now));
         let limited: Vec<_> = limited.cloned().collect();
         for endpoint in limited {
-            self.permits.freed.insert(endpoint.id.clone(), now);
-            self.want(endpoint, Purpose::Free, FREED);
+            self.permits.last_free.insert(endpoint.id.clone(), now);
+            self.ask_permit(endpoint, Purpose::Free, FREE_PRIORITY);
         }
     }
 
-    fn may_be_told_what_is_free(&self, endpoint: &Endpoint, now: Timestamp) -> bool {
+    fn may_free_results(&self, endpoint: &Endpoint, now: Timestamp) -> bool {
         let Some(rate) = self.limits.rate(endpoint, now) else {
             return false;
         };
-        let rest = Duration::try_from_secs_f64(FREED_ONE_IN / rate.as_per_second());
+        let rest = Duration::try_from_secs_f64(TURNS_PER_FREE / rate.as_per_second());
         let rest = rest.unwrap_or(Duration::MAX);
-        let last = self.permits.freed.get(&endpoint.id);
+        let last = self.permits.last_free.get(&endpoint.id);
         last.is_none_or(|last| now >= last.saturating_add(rest))
-            && !self.permits.is_asked(&endpoint.id, Purpose::Free)
-            && self.permits.turns.turn(endpoint, FREED, now).is_none()
+            && !self.permits.is_pending(&endpoint.id, Purpose::Free)
+            && self.permits.turns.turn(endpoint, FREE_PRIORITY, now).is_none()
     }
 
     /// Time until the last of `more` pieces of a pool has a turn, if all its endpoints have rate
@@ -210,7 +216,7 @@
 
     /// Time by which a job's pieces would have their turns too late, behind those that wait
     /// already; `None` if they are in time.
-    pub(super) fn too_late_for_turns(
+    pub(super) fn excess_turn_wait(
         &self,
         job: &Job,
         table: &Table,
@@ -219,17 +225,17 @@
         if self.limits.is_empty() {
             return None;
         }
-        let patience = job.to_deadline.mul_f64(TIME_TO_WAIT);
+        let wait_limit = job.to_deadline.mul_f64(MAX_WAIT_SHARE);
         let waits = job.stages.iter().filter(|s| s.pieces > s.done.len()).filter_map(|stage| {
             let before = self.ledger.get(&stage.pool).map_or(0, |pool| pool.queue.pieces());
             self.wait_for_turns(&stage.pool, before + stage.pieces, table, now)
         });
-        waits.max().filter(|wait| *wait > patience).map(|wait| wait.saturating_sub(patience))
+        waits.max().filter(|wait| *wait > wait_limit).map(|wait| wait.saturating_sub(wait_limit))
     }
 
     /// Cancels the jobs whose pieces wait for a pool and can't have a turn before their deadlines;
     /// turns are assigned in the order of deadlines.
-    fn give_up_beyond_turns(&mut self, pool: &Name, table: &Table, now: Timestamp) {
+    fn cancel_beyond_turns(&mut self, pool: &Name, table: &Table, now: Timestamp) {
         if self.wait_for_turns(pool, 1, table, now).is_none() {
             return;
         }
@@ -253,7 +259,7 @@
                 None => before += pieces,
                 Some(wait) => {
                     self.release(id, table);
-                    self.tell_given_up(id, JobReason::NoEndpoint, false, wait);
+                    self.send_given_up(id, JobReason::NoEndpoint, false, wait);
                 }
             }
         }
--- a/src/direct/owner/plan.rs
+++ b/src/direct/owner/plan.rs
@@ -4,7 +4,7 @@
 
 use crate::direct::owner::calls::{Call, Calls};
 use crate::direct::owner::jobs::{JobRun, Piece, StageRun};
-use crate::direct::owner::pace::Paces;
+use crate::direct::owner::timings::Timings;
 use crate::direct::peers::message::JobStage;
 use crate::direct::published::table::Table;
 use crate::message::Timestamp;
@@ -15,8 +15,8 @@
 
 /// State from which plans are computed.
 #[derive(Clone, Copy)]
-pub struct Basis<'a> {
-    pub(super) paces: &'a Paces,
+pub struct PlanContext<'a> {
+    pub(super) timings: &'a Timings,
     pub(super) calls: &'a Calls,
     pub(super) table: &'a Table,
     pub(super) now: Timestamp,
@@ -43,25 +43,25 @@
 }
 
 /// When each stage of a job is expected to run.
-pub fn expected_runs(run: &JobRun, basis: Basis<'_>) -> Vec<Run> {
+pub fn expected_runs(run: &JobRun, context: PlanContext<'_>) -> Vec<Run> {
     let mut runs: Vec<Run> = Vec::with_capacity(run.stages.len());
     for (spec, stage) in run.job.stages.iter().zip(&run.stages) {
         let ready = spec.after.iter().map(|&a| runs[a].end).max().unwrap_or_default();
-        let batch = basis.table.batch(&spec.pool).filter(|_| !stage.is_done());
+        let batch = context.table.batch(&spec.pool).filter(|_| !stage.is_done());
         let Some(batch) = batch else {
             runs.push(Run { start: Duration::ZERO, end: ready });
             continue;
         };
-        let pace = basis.paces.get(&spec.pool, batch);
-        let waiting = ready + pace.wait() + pace.call();
-        let at_work = rest_of_calls(stage, basis);
+        let pool_timings = context.timings.get(&spec.pool, batch);
+        let waiting = ready + pool_timings.wait() + pool_timings.call();
+        let at_work = remaining_call_time(stage, context);
         runs.push(match at_work {
             Some(rest) if stage.waiting() == 0 => Run { start: Duration::ZERO, end: rest },
             Some(rest) => Run { start: Duration::ZERO, end: rest.max(waiting) },
-            None => Run { start: ready + pace.wait(), end: waiting },
+            None => Run { start: ready + pool_timings.wait(), end: waiting },
         });
     }
-    hold_back(run, &mut runs);
+    defer(run, &mut runs);
     runs
 }
 
@@ -85,7 +85,7 @@
 /// Moves deferred stages that have not started to where the others end: counted from the start,
 /// their results would seem to occupy half as much memory again as they do. Benchmark gain: 0.015
 /// on a score of 0.655, in fifteen paired day runs with bursts and losses.
-fn hold_back(run: &JobRun, runs: &mut [Run]) {
+fn defer(run: &JobRun, runs: &mut [Run]) {
     let others = (0..runs.len()).filter(|&s| !run.stands_alone(s)).map(|s| runs[s].end).max();
     let Some(others) = others else {
         return;
@@ -101,11 +101,12 @@
 }
 
 /// Expected remaining time of the running calls of a stage; `None` if there are none.
-fn rest_of_calls(stage: &StageRun, basis: Basis<'_>) -> Option<Duration> {
+fn remaining_call_time(stage: &StageRun, context: PlanContext<'_>) -> Option<Duration> {
     let calls = stage.pieces.iter().filter_map(|piece| match piece {
-        Piece::Running { call, .. } => basis.calls.get(call),
+        Piece::Running { call, .. } => context.calls.get(call),
         _ => None,
     });
-    let rest = |call: &Call| (call.sent + call.expected).saturating_sub(basis.now).max(OVERTIME);
-    calls.map(rest).max()
+    let remaining =
+        |call: &Call| (call.sent + call.expected).saturating_sub(context.now).max(OVERTIME);
+    calls.map(remaining).max()
 }
--- a/src/direct/owner/poison.rs
+++ b/src/direct/owner/poison.rs
@@ -11,7 +11,7 @@
 
 use crate::direct::answers::PieceOutcome;
 use crate::direct::event::Action;
-use crate::direct::owner::calls::{Call, Part, PieceId};
+use crate::direct::owner::calls::{Call, CallStage, PieceId};
 use crate::direct::owner::scheduler::Scheduler;
 use crate::direct::peers::message::{Job, JobId, JobReason};
 use crate::direct::poison::fingerprint::Fingerprint;
@@ -37,35 +37,36 @@
         }
         let jobs = self.jobs.iter().filter(|(_, run)| self.poison_in(&run.job).is_some());
         for id in jobs.map(|(id, _)| *id).collect::<Vec<_>>() {
-            self.give_up(id, JobReason::Failed, table);
+            self.cancel_job(id, JobReason::Failed, table);
         }
     }
 
     /// Whether pieces of a job's stage are sent in calls of their own.
-    pub(super) fn goes_alone(&self, id: JobId, stage: usize) -> bool {
-        let part = || Some(self.jobs.get(&id)?.job.fingerprint.of_stage(stage));
-        !self.suspects.is_empty() && part().is_some_and(|part| self.suspects.goes_alone(part))
+    pub(super) fn is_isolated(&self, id: JobId, stage: usize) -> bool {
+        let fingerprint = || Some(self.jobs.get(&id)?.job.fingerprint.of_stage(stage));
+        !self.suspects.is_empty()
+            && fingerprint().is_some_and(|of_stage| self.suspects.goes_alone(of_stage))
     }
 
     /// Stages that have pieces in a call, each listed once.
-    pub(super) fn parts(&self, pieces: &[(PieceId, u64)]) -> Vec<Part> {
+    pub(super) fn call_stages(&self, pieces: &[(PieceId, u64)]) -> Vec<CallStage> {
         let mut stages: Vec<_> = pieces.iter().map(|((id, stage, _), _)| (*id, *stage)).collect();
         stages.sort_unstable();
         stages.dedup();
         let alone = stages.len() == 1;
-        let part = |(job, stage)| {
+        let stage = |(job, stage)| {
             let fingerprint = self.jobs.get(&job)?.job.fingerprint.of_stage(stage);
             let round = self.suspects.rounds(fingerprint).saturating_add(1);
-            Some(Part { job, stage, run: Run { fingerprint, round, alone } })
+            Some(CallStage { job, stage, run: Run { fingerprint, round, alone } })
         };
-        stages.into_iter().filter_map(part).collect()
+        stages.into_iter().filter_map(stage).collect()
     }
 
     /// Reports that a call was not answered.
     pub(super) fn report_unanswered(&mut self, call: &Call, how: Unanswered) {
         self.out.push(Action::PoisonReport(Report::Unanswered {
             endpoint: call.endpoint.clone(),
-            runs: call.parts.iter().map(|part| part.run).collect(),
+            runs: call.stages.iter().map(|stage| stage.run).collect(),
             how,
         }));
     }
@@ -75,9 +76,9 @@
         let made = call.pieces.iter().zip(outcomes);
         let made = made.filter(|(_, outcome)| matches!(outcome, PieceOutcome::Made(_)));
         let made: BTreeSet<(JobId, usize)> = made.map(|(((j, s, _), _), _)| (*j, *s)).collect();
-        let well = call.parts.iter().filter(|part| made.contains(&(part.job, part.stage)));
+        let well = call.stages.iter().filter(|run| made.contains(&(run.job, run.stage)));
         let reports =
-            well.map(|part| Action::PoisonReport(Report::Succeeded(part.run.fingerprint)));
+            well.map(|stage| Action::PoisonReport(Report::Succeeded(stage.run.fingerprint)));
         self.out.extend(reports);
     }
 }
--- a/src/direct/owner/queue.rs
+++ b/src/direct/owner/queue.rs
@@ -31,9 +31,9 @@
     pub(super) bytes: u64,
     /// Preferred data centre, which has the inputs or needs the results; `None` where that does not
     /// matter.
-    pub(super) home: Option<Name>,
+    pub(super) preferred: Option<Name>,
     /// Regions in which the pieces may run.
-    pub(super) homes: Homes,
+    pub(super) allowed_regions: Homes,
 }
 
 /// Pieces that may go into the next call.
@@ -44,24 +44,24 @@
     pub(super) skip: usize,
     pub(super) pieces: usize,
     pub(super) bytes: u64,
-    pub(super) home: Option<Name>,
+    pub(super) preferred: Option<Name>,
     /// Regions in which the pieces may run.
-    pub(super) homes: Homes,
+    pub(super) allowed_regions: Homes,
     /// Whether the pieces accept only endpoints in the preferred data centre for now.
-    pub(super) waits_for_home: bool,
+    pub(super) only_preferred: bool,
 }
 
 /// Bounds of a search for candidates.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Look {
+pub(super) struct Search {
     pub(super) now_ms: i64,
     /// Stages whose latest start is not after this time accept any allowed endpoint.
-    pub(super) waits_from_ms: i64,
+    pub(super) flexible_until_ms: i64,
     /// Number of pieces after which the search of a group ends.
-    pub(super) most: usize,
+    pub(super) max_pieces: usize,
 }
 
-impl Look {
+impl Search {
     /// Orders stages that can no longer meet their objective after all that can.
     fn order(&self, rank: Rank) -> (bool, Rank) {
         (rank.latest_start_ms < self.now_ms, rank)
@@ -73,7 +73,7 @@
 struct Queued {
     pieces: usize,
     bytes: u64,
-    homes: Homes,
+    allowed_regions: Homes,
 }
 
 /// Stages with the same preferred data centre.
@@ -110,21 +110,24 @@
 
 impl Queue {
     pub(super) fn add(&mut self, waiting: &Waiting) {
-        let group = self.groups.entry(waiting.home.clone()).or_default();
-        let Waiting { pieces, bytes, ref homes, .. } = *waiting;
-        group.stages.insert(waiting.rank, Queued { pieces, bytes, homes: homes.clone() });
+        let group = self.groups.entry(waiting.preferred.clone()).or_default();
+        let Waiting { pieces, bytes, ref allowed_regions, .. } = *waiting;
+        group.stages.insert(
+            waiting.rank,
+            Queued { pieces, bytes, allowed_regions: allowed_regions.clone() },
+        );
         group.pieces += waiting.pieces;
     }
 
     pub(super) fn remove(&mut self, waiting: &Waiting) {
-        let Some(group) = self.groups.get_mut(&waiting.home) else {
+        let Some(group) = self.groups.get_mut(&waiting.preferred) else {
             return;
         };
         if let Some(queued) = group.stages.remove(&waiting.rank) {
             group.pieces -= queued.pieces;
         }
         if group.stages.is_empty() {
-            self.groups.remove(&waiting.home);
+            self.groups.remove(&waiting.preferred);
         }
     }
 
@@ -139,10 +142,10 @@
 
     /// The waiting stages, most urgent first.
     pub(super) fn in_order(&self, now_ms: i64) -> Vec<Rank> {
-        let look = Look { now_ms, waits_from_ms: 0, most: 0 };
+        let search = Search { now_ms, flexible_until_ms: 0, max_pieces: 0 };
         let mut ranks: Vec<Rank> =
             self.groups.values().flat_map(|g| g.stages.keys().copied()).collect();
-        ranks.sort_unstable_by_key(|rank| look.order(*rank));
+        ranks.sort_unstable_by_key(|rank| search.order(*rank));
         ranks
     }
 
@@ -154,55 +157,71 @@
     /// gain: 0.006 on a score of 0.674, in fifteen paired day runs with bursts and losses.
     pub(super) fn candidates(
         &self,
-        look: Look,
+        search: Search,
         next_calls: impl Fn(&Name) -> usize,
         is_free: impl Fn(&Name) -> bool,
     ) -> Vec<Candidate> {
         let mut candidates = Vec::new();
-        for (home, group) in &self.groups {
-            let next_calls = home.as_ref().map_or(0, &next_calls);
-            let home_is_free = home.as_ref().is_none_or(&is_free);
-            look_at(group, home.as_ref(), next_calls, home_is_free, look, &mut candidates);
+        for (preferred, group) in &self.groups {
+            let next_calls = preferred.as_ref().map_or(0, &next_calls);
+            let preferred_is_free = preferred.as_ref().is_none_or(&is_free);
+            add_candidates(
+                group,
+                preferred.as_ref(),
+                next_calls,
+                preferred_is_free,
+                search,
+                &mut candidates,
+            );
         }
-        candidates.sort_unstable_by_key(|c| (look.order(c.rank), c.skip));
+        candidates.sort_unstable_by_key(|c| (search.order(c.rank), c.skip));
         candidates
     }
 }
 
 /// Adds the candidates of a group; stages that wait for their preferred data centre are skipped if
 /// no endpoint is free there.
-fn look_at(
+fn add_candidates(
     group: &Group,
-    home: Option<&Name>,
+    preferred: Option<&Name>,
     next_calls: usize,
-    home_is_free: bool,
-    look: Look,
+    preferred_is_free: bool,
+    search: Search,
     candidates: &mut Vec<Candidate>,
 ) {
     let (mut before, mut found) = (0, 0);
-    let mut add = |rank: &Rank, of: &Queued, skip: usize, pieces: usize, waits_for_home: bool| {
-        let (rank, bytes, home, homes) = (*rank, of.bytes, home.cloned(), of.homes.clone());
-        candidates.push(Candidate { rank, skip, pieces, bytes, home, homes, waits_for_home });
+    let mut add = |rank: &Rank, of: &Queued, skip: usize, pieces: usize, only_preferred: bool| {
+        let (rank, bytes, preferred, allowed_regions) =
+            (*rank, of.bytes, preferred.cloned(), of.allowed_regions.clone());
+        candidates.push(Candidate {
+            rank,
+            skip,
+            pieces,
+            bytes,
+            preferred,
+            allowed_regions,
+            only_preferred,
+        });
         pieces
     };
-    for (rank, queued) in group.in_time(look.now_ms) {
+    for (rank, queued) in group.in_time(search.now_ms) {
         let pieces = queued.pieces;
-        let may_wait = home.is_some() && rank.latest_start_ms > look.waits_from_ms;
+        let may_wait = preferred.is_some() && rank.latest_start_ms > search.flexible_until_ms;
         let stays = if may_wait { next_calls.saturating_sub(before).min(pieces) } else { 0 };
         before += pieces;
-        if stays > 0 && home_is_free {
+        if stays > 0 && preferred_is_free {
             found += add(rank, queued, 0, stays, true);
         }
         if pieces > stays {
             found += add(rank, queued, stays, pieces - stays, false);
         }
-        let nothing_leaves = may_wait && !home_is_free && group.pieces <= next_calls;
-        if found >= look.most || nothing_leaves {
+        let nothing_leaves = may_wait && !preferred_is_free && group.pieces <= next_calls;
+        if found >= search.max_pieces || nothing_leaves {
             break;
         }
     }
-    for (rank, queued) in group.missed(look.now_ms) {
-        if found >= look.most {
+    for (rank, queued) in group.missed(search.now_ms) {
+        if found >= search.max_pieces {
             return;
         }
         found += add(rank, queued, 0, queued.pieces, false);
--- a/src/direct/owner/restarts.rs
+++ b/src/direct/owner/restarts.rs
@@ -15,14 +15,14 @@
     /// Handles a new incarnation of an endpoint.
     pub fn restarted(&mut self, endpoint: &Name, table: &Table, now: Timestamp) {
         self.makers.restarted(endpoint);
-        self.calls_lost(endpoint, table, now);
-        for (job, stage) in self.results_lost(endpoint) {
-            self.make_again(job, stage, table, now);
+        self.end_lost_calls(endpoint, table, now);
+        for (job, stage) in self.drop_lost_results(endpoint) {
+            self.rerun(job, stage, table, now);
         }
     }
 
     /// Ends the calls to the previous incarnation, which are never answered.
-    fn calls_lost(&mut self, endpoint: &Name, table: &Table, now: Timestamp) {
+    fn end_lost_calls(&mut self, endpoint: &Name, table: &Table, now: Timestamp) {
         let incarnation = table.endpoint(endpoint).map(|e| e.incarnation);
         let lost = self.calls.iter().filter(|(_, call)| {
             call.endpoint.id == *endpoint && Some(call.endpoint.incarnation) != incarnation
@@ -40,7 +40,7 @@
                 took_ms: ms(now.saturating_sub(call.sent)),
             }));
             self.report_unanswered(&call, Unanswered::Silent);
-            self.put_back(&call, id, true, table, now);
+            self.requeue_pieces(&call, id, true, table, now);
             self.dirty.insert(call.pool);
         }
     }
@@ -48,11 +48,11 @@
     /// Drops the results that the previous incarnation kept, and returns the stages that lack them.
     /// The results of a job that is ready are being fetched by its last endpoint, which reports if
     /// they are gone.
-    fn results_lost(&mut self, endpoint: &Name) -> Vec<(JobId, usize)> {
+    fn drop_lost_results(&mut self, endpoint: &Name) -> Vec<(JobId, usize)> {
         let mut lacking = Vec::new();
         for (id, run) in &mut self.jobs {
             for stage in 0..run.stages.len() {
-                if take_out(run, stage, endpoint) {
+                if drop_results(run, stage, endpoint) {
                     lacking.push((*id, stage));
                 }
             }
@@ -60,26 +60,26 @@
         lacking
     }
 
-    fn make_again(&mut self, id: JobId, stage: usize, table: &Table, now: Timestamp) {
+    fn rerun(&mut self, id: JobId, stage: usize, table: &Table, now: Timestamp) {
         let Some(run) = self.job_mut(id).filter(|run| !run.ready) else {
             return;
         };
         run.stages[stage].told = false;
         let lacks_inputs = run.lacks_inputs(stage);
         let pool = run.job.stages[stage].pool.clone();
-        if !self.takes_repeat(&pool, table, now) {
-            return self.give_up(id, JobReason::RepeatBudget, table);
+        if !self.take_repeat(&pool, table, now) {
+            return self.cancel_job(id, JobReason::RepeatBudget, table);
         }
         self.dirty.insert(pool);
         if lacks_inputs {
-            self.make_inputs_again(id, stage, table, now);
+            self.rerun_inputs(id, stage, table, now);
         }
     }
 }
 
 /// Drops the results of a stage that an endpoint kept; returns whether there were any.
-fn take_out(run: &mut JobRun, stage: usize, endpoint: &Name) -> bool {
-    let gone = if run.ready { Piece::Used } else { Piece::Waiting { tries: 1 } };
+fn drop_results(run: &mut JobRun, stage: usize, endpoint: &Name) -> bool {
+    let gone = if run.ready { Piece::Used } else { Piece::Waiting { attempts: 1 } };
     let mut had = false;
     for piece in &mut run.stages[stage].pieces {
         if matches!(piece, Piece::Made(made) if made.endpoint == *endpoint) {
--- a/src/direct/owner/scheduler.rs
+++ b/src/direct/owner/scheduler.rs
@@ -16,17 +16,17 @@
 use crate::direct::event::Action;
 use crate::direct::limits::known::KnownLimits;
 use crate::direct::log_events::LogEvent;
-use crate::direct::owner::calls::{Calls, SETTLING};
-use crate::direct::owner::due::{Due, Timers};
+use crate::direct::owner::calls::{Calls, TAKEOVER_PERIOD};
+use crate::direct::owner::endpoints::EndpointState;
 use crate::direct::owner::entry::entry;
-use crate::direct::owner::free::Standing;
 use crate::direct::owner::jobs::{JobRun, Piece, expected_calls};
 use crate::direct::owner::ledger::{Entry, Ledger};
 use crate::direct::owner::makers::{Makers, Usage};
-use crate::direct::owner::outcomes::OWNERS;
-use crate::direct::owner::pace::Paces;
+use crate::direct::owner::outcomes::OWNERS_PER_CELL;
 use crate::direct::owner::permits::Permits;
-use crate::direct::owner::plan::Basis;
+use crate::direct::owner::plan::PlanContext;
+use crate::direct::owner::timers::{Timer, Timers};
+use crate::direct::owner::timings::Timings;
 use crate::direct::peers::message::{Handle, JobId, JobReason, Made, PeerMessage};
 use crate::direct::poison::suspects::Suspects;
 use crate::direct::published::model::{BatchSpec, Endpoint, Name};
@@ -37,10 +37,10 @@
 use crate::policy::path::FETCHING;
 
 /// Interval between two runs of timers, and between two checks of endpoints that change with time.
-const LOOK: Duration = Duration::from_millis(25);
+const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Minimum interval between requests for reports of all endpoints.
-const REPORTS_KEPT: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Schedules the stages of all gateways' jobs in the pools of a cell.
 #[derive(Debug)]
@@ -60,30 +60,30 @@
     /// Fingerprints under which endpoints crashed.
     pub(super) suspects: Arc<Suspects>,
     pub(super) next_call: u64,
-    pub(super) paces: Paces,
+    pub(super) timings: Timings,
     /// Totals of each pool, up to date except for changed jobs and endpoints.
     pub(super) ledger: Ledger,
     /// Jobs that changed since their ledger entries were computed.
-    touched: Vec<JobId>,
+    changed_jobs: Vec<JobId>,
     /// Whether the ledger holds the endpoints of the table.
     is_listed: bool,
     /// Endpoints whose state changes with time alone.
     changing: BTreeSet<Name>,
-    changing_looked_at: Timestamp,
+    changing_checked_at: Timestamp,
     pub(super) timers: Timers,
     pub(super) to_free: BTreeMap<Name, (Arc<Endpoint>, Vec<Handle>)>,
     /// Pools for which calls may be filled.
     pub(super) dirty: BTreeSet<Name>,
-    last_look: Timestamp,
+    last_check: Timestamp,
     /// Time when all endpoints were last asked for reports.
-    reports_asked: Option<Timestamp>,
+    reports_asked_at: Option<Timestamp>,
     /// Event lag of this process.
-    pub(super) lateness: Duration,
+    pub(super) event_lag: Duration,
     /// Time when this process last resumed after a suspension.
     pub(super) resumed_at: Timestamp,
     pub(super) last_submit: Option<Timestamp>,
     /// Time when jobs began to arrive after an interval without any.
-    pub(super) owner_since: Timestamp,
+    pub(super) active_since: Timestamp,
     /// Number of jobs and waiting stages examined for decisions.
     pub(super) looked_at: u64,
     pub(super) out: Vec<Action>,
@@ -104,21 +104,21 @@
             repeats: Repeats::new(bounds),
             suspects: Arc::default(),
             next_call: 0,
-            paces: Paces::default(),
+            timings: Timings::default(),
             ledger: Ledger::default(),
-            touched: Vec::new(),
+            changed_jobs: Vec::new(),
             is_listed: false,
             changing: BTreeSet::new(),
-            changing_looked_at: Timestamp::ZERO,
+            changing_checked_at: Timestamp::ZERO,
             timers: Timers::default(),
             to_free: BTreeMap::new(),
             dirty: BTreeSet::new(),
-            last_look: Timestamp::ZERO,
-            reports_asked: None,
-            lateness: Duration::ZERO,
+            last_check: Timestamp::ZERO,
+            reports_asked_at: None,
+            event_lag: Duration::ZERO,
             resumed_at: Timestamp::ZERO,
             last_submit: None,
-            owner_since: Timestamp::ZERO,
+            active_since: Timestamp::ZERO,
             looked_at: 0,
             out: Vec::new(),
         }
@@ -141,8 +141,8 @@
     }
 
     /// Sets the event lag of this process, by which stages end later.
-    pub fn set_lateness(&mut self, lateness: Duration) {
-        self.lateness = lateness;
+    pub fn set_lateness(&mut self, event_lag: Duration) {
+        self.event_lag = event_lag;
     }
 
     /// Handles the end of a suspension of this process: due timers wait until the results that
@@ -170,7 +170,7 @@
     /// Time when timers must be run next; `None` if there is nothing to do.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         let is_busy = !self.jobs.is_empty() || !self.calls.is_empty() || !self.to_free.is_empty();
-        is_busy.then_some(self.last_look + LOOK)
+        is_busy.then_some(self.last_check + CHECK_INTERVAL)
     }
 
     /// Result memory that this owner uses at endpoints.
@@ -193,21 +193,21 @@
     /// Fills calls with waiting pieces, and takes the actions to perform.
     pub fn actions(&mut self, table: &Table, now: Timestamp) -> Vec<Action> {
         if !self.is_idle() || !self.dirty.is_empty() {
-            self.settle(table, now);
+            self.update_ledger(table, now);
         }
         while let Some(pool) = self.dirty.pop_first() {
-            self.fill(&pool, table, now);
+            self.fill_calls(&pool, table, now);
         }
-        self.free_what_may_be(now);
+        self.free_results(now);
         std::mem::take(&mut self.out)
     }
 
     /// Asks all endpoints for reports: a new owner does not know what previous owners left there.
     pub fn ask_reports(&mut self, table: &Table, now: Timestamp) {
-        if self.reports_asked.is_some_and(|at| now < at + REPORTS_KEPT) {
+        if self.reports_asked_at.is_some_and(|at| now < at + REPORT_INTERVAL) {
             return;
         }
-        self.reports_asked = Some(now);
+        self.reports_asked_at = Some(now);
         let pools = table.deployment.pools.iter().filter(|p| table.batch(&p.name).is_some());
         let endpoints = pools.flat_map(|p| table.members(&p.name)).filter(|e| !e.leaving);
         let endpoints = endpoints.filter(|e| self.backoffs.until(e, now).is_none());
@@ -249,13 +249,13 @@
             return;
         };
         self.ledger.replace(&run, &run.entry, &Entry::default());
-        self.timers.remove(run.deadline, Due::Deadline(id));
-        if let Some(at) = run.entry.review {
-            self.timers.remove(at, Due::Review(id));
+        self.timers.remove(run.deadline, Timer::Deadline(id));
+        if let Some(at) = run.entry.refresh_at {
+            self.timers.remove(at, Timer::Refresh(id));
         }
         for (spec, stage) in run.job.stages.iter().zip(&run.stages) {
             for made in stage.results() {
-                self.free(&made, spec.result_bytes, table);
+                self.free_result(&made, spec.result_bytes, table);
             }
             self.dirty.insert(spec.pool.clone());
         }
@@ -265,7 +265,7 @@
     pub fn end_all(&mut self, own: SocketAddr) {
         let others = self.jobs.keys().filter(|id| id.gateway != own).copied();
         for id in others.collect::<Vec<_>>() {
-            self.tell_given_up(id, JobReason::NotOwner, false, Duration::ZERO);
+            self.send_given_up(id, JobReason::NotOwner, false, Duration::ZERO);
         }
     }
 
@@ -290,20 +290,20 @@
 
     /// Runs timers that are due.
     pub fn look(&mut self, table: &Table, now: Timestamp) {
-        if now < self.last_look + LOOK {
+        if now < self.last_check + CHECK_INTERVAL {
             return;
         }
-        self.last_look = now;
-        self.makers.tidy(now);
+        self.last_check = now;
+        self.makers.expire(now);
         while let Some(due) = self.timers.take(now) {
             match due {
-                Due::Deadline(job) => self.give_up(job, JobReason::DeadlinePassed, table),
-                Due::Review(job) => self.touched.push(job),
-                Due::Fetched(call) => self.fetched(call, table, now),
-                Due::Overdue(call) => self.give_up_call(call, table, now),
+                Timer::Deadline(job) => self.cancel_job(job, JobReason::DeadlinePassed, table),
+                Timer::Refresh(job) => self.changed_jobs.push(job),
+                Timer::InputsFetched(call) => self.inputs_fetched(call, table, now),
+                Timer::Overdue(call) => self.abandon_call(call, table, now),
             }
         }
-        self.settle(table, now);
+        self.update_ledger(table, now);
         // Pieces accept endpoints elsewhere as their slack shrinks, and result memory becomes free
         // with time.
         let waiting = self.ledger.pools().filter(|(_, pool)| !pool.queue.is_empty());
@@ -314,13 +314,13 @@
     /// Frees the inputs of a call, which its endpoint has had the time to fetch. Where another
     /// owner may call the same endpoints, the call may still be queued there and is checked again
     /// later.
-    fn fetched(&mut self, id: u64, table: &Table, now: Timestamp) {
-        let is_alone = now >= self.owner_since + SETTLING && !self.makers.is_shared();
-        let Some(call) = self.calls.get_mut(&id).filter(|call| !call.is_late) else {
+    fn inputs_fetched(&mut self, id: u64, table: &Table, now: Timestamp) {
+        let is_alone = now >= self.active_since + TAKEOVER_PERIOD && !self.makers.is_shared();
+        let Some(call) = self.calls.get_mut(&id).filter(|call| !call.is_abandoned) else {
             return;
         };
         if !is_alone {
-            return self.timers.add(now + FETCHING, Due::Fetched(id));
+            return self.timers.add(now + FETCHING, Timer::InputsFetched(id));
         }
         call.has_fetched = true;
         for job in call.jobs() {
@@ -331,19 +331,19 @@
     /// The job, marked as changed so that its ledger entry is recomputed.
     pub(super) fn job_mut(&mut self, id: JobId) -> Option<&mut JobRun> {
         let run = self.jobs.get_mut(&id)?;
-        self.touched.push(id);
+        self.changed_jobs.push(id);
         Some(run)
     }
 
     /// Applies all changes to the ledger, at a cost that depends on what changed. Only after a
     /// change of endpoints or of the configuration are all endpoints and jobs entered anew.
-    pub(super) fn settle(&mut self, table: &Table, now: Timestamp) {
+    pub(super) fn update_ledger(&mut self, table: &Table, now: Timestamp) {
         if !self.is_listed {
             self.list_endpoints(table, now);
         }
         let mut changed = self.makers.take_changed();
-        if now >= self.changing_looked_at + LOOK {
-            self.changing_looked_at = now;
+        if now >= self.changing_checked_at + CHECK_INTERVAL {
+            self.changing_checked_at = now;
             changed.append(&mut self.changing);
         }
         for endpoint in changed {
@@ -351,11 +351,11 @@
                 self.list_endpoint(pool, &endpoint, table, now);
             }
         }
-        let mut touched = std::mem::take(&mut self.touched);
-        touched.sort_unstable();
-        touched.dedup();
-        for job in touched {
-            self.enter(job, table, now);
+        let mut changed_jobs = std::mem::take(&mut self.changed_jobs);
+        changed_jobs.sort_unstable();
+        changed_jobs.dedup();
+        for job in changed_jobs {
+            self.refresh_entry(job, table, now);
         }
     }
 
@@ -370,7 +370,7 @@
         }
         for (id, run) in &mut self.jobs {
             run.calls = expected_calls(&run.job, table);
-            self.touched.push(*id);
+            self.changed_jobs.push(*id);
         }
     }
 
@@ -389,17 +389,17 @@
         if is_limited || self.makers.changes_with_time(id, now) || self.cold.is_cold(id, now) {
             self.changing.insert(id.clone());
         }
-        let bears = table.pool(pool).and_then(|pool| pool.cold);
-        let is_open = self.cold.opens(endpoint, bears, OWNERS, now).is_none();
-        let mut standing = self.standing(id, spec, now);
-        standing.is_free &= is_open && self.is_permitted(endpoint, now);
-        self.ledger.pool(pool).endpoints.set(endpoint.clone(), standing);
+        let cold_start = table.pool(pool).and_then(|pool| pool.cold);
+        let is_open = self.cold.opens(endpoint, cold_start, OWNERS_PER_CELL, now).is_none();
+        let mut state = self.state_of(id, spec, now);
+        state.is_free &= is_open && self.is_permitted(endpoint, now);
+        self.ledger.pool(pool).endpoints.set(endpoint.clone(), state);
     }
 
-    pub(super) fn standing(&self, id: &Name, spec: &BatchSpec, now: Timestamp) -> Standing {
+    pub(super) fn state_of(&self, id: &Name, spec: &BatchSpec, now: Timestamp) -> EndpointState {
         let maker = self.makers.get(id);
-        Standing {
-            room: self.makers.left(id, spec.room_bytes, now),
+        EndpointState {
+            free_bytes: self.makers.left(id, spec.room_bytes, now),
             of_others: self.makers.of_others(id, now).min(spec.room_bytes),
             is_free: maker.running < spec.slots && maker.blocked_until <= now,
             is_avoided: maker.avoided_until > now,
@@ -407,50 +407,50 @@
     }
 
     /// Recomputes the ledger entry of a job.
-    fn enter(&mut self, id: JobId, table: &Table, now: Timestamp) {
+    fn refresh_entry(&mut self, id: JobId, table: &Table, now: Timestamp) {
         let Some(run) = self.jobs.get_mut(&id) else {
             return;
         };
         self.looked_at += 1;
-        let basis = Basis { paces: &self.paces, calls: &self.calls, table, now };
-        let after = entry(run, basis);
+        let context = PlanContext { timings: &self.timings, calls: &self.calls, table, now };
+        let after = entry(run, context);
         let before = std::mem::replace(&mut run.entry, after);
         self.ledger.replace(run, &before, &run.entry);
-        if before.review != run.entry.review {
-            if let Some(at) = before.review {
-                self.timers.remove(at, Due::Review(id));
+        if before.refresh_at != run.entry.refresh_at {
+            if let Some(at) = before.refresh_at {
+                self.timers.remove(at, Timer::Refresh(id));
             }
-            if let Some(at) = run.entry.review {
-                self.timers.add(at, Due::Review(id));
+            if let Some(at) = run.entry.refresh_at {
+                self.timers.add(at, Timer::Refresh(id));
             }
         }
         let waits = run.entry.stages.iter().enumerate().filter(|(_, s)| s.queued.is_some());
         self.dirty.extend(waits.map(|(stage, _)| run.job.stages[stage].pool.clone()));
     }
 
-    pub(super) fn give_up(&mut self, id: JobId, reason: JobReason, table: &Table) {
+    pub(super) fn cancel_job(&mut self, id: JobId, reason: JobReason, table: &Table) {
         if !self.jobs.contains_key(&id) {
             return;
         }
         self.release(id, table);
-        self.tell_given_up(id, reason, false, Duration::from_millis(300));
+        self.send_given_up(id, reason, false, Duration::from_millis(300));
     }
 
-    pub(super) fn tell_given_up(
+    pub(super) fn send_given_up(
         &mut self,
         job: JobId,
         reason: JobReason,
         untouched: bool,
         retry_after: Duration,
     ) {
-        self.tell(job, PeerMessage::GivenUp { job, reason, untouched, retry_after });
+        self.send_to_gateway(job, PeerMessage::GivenUp { job, reason, untouched, retry_after });
     }
 
-    pub(super) fn tell(&mut self, job: JobId, message: PeerMessage) {
+    pub(super) fn send_to_gateway(&mut self, job: JobId, message: PeerMessage) {
         self.out.push(Action::Send { to: job.gateway, message });
     }
 
-    pub(super) fn free(&mut self, made: &Made, bytes: u64, table: &Table) {
+    pub(super) fn free_result(&mut self, made: &Made, bytes: u64, table: &Table) {
         self.makers.freed(&made.endpoint, bytes);
         if let Some(endpoint) = table.endpoint(&made.endpoint) {
             let entry = self.to_free.entry(made.endpoint.clone());
@@ -461,7 +461,7 @@
     /// Reports finished stages to the gateway, frees results that are no longer needed, and marks
     /// the job as changed.
     pub(super) fn advance(&mut self, id: JobId, table: &Table) {
-        self.touched.push(id);
+        self.changed_jobs.push(id);
         let calls = &self.calls;
         let has_fetched = |call: u64| calls.get(&call).is_some_and(|c| c.has_fetched);
         let Some(run) = self.jobs.get_mut(&id) else {
@@ -487,13 +487,13 @@
         let becomes_ready = run.is_done() && !run.ready;
         run.ready |= becomes_ready;
         for (stage, results) in told {
-            self.tell(id, PeerMessage::StageDone { job: id, stage, results });
+            self.send_to_gateway(id, PeerMessage::StageDone { job: id, stage, results });
         }
         for (made, bytes) in used {
-            self.free(&made, bytes, table);
+            self.free_result(&made, bytes, table);
         }
         if becomes_ready {
-            self.tell(id, PeerMessage::Ready(id));
+            self.send_to_gateway(id, PeerMessage::Ready(id));
         }
     }
 }
--- a/src/direct/owner/pace.rs
+++ b/src/direct/owner/timings.rs
@@ -6,18 +6,18 @@
 use crate::direct::published::model::{BatchSpec, Name};
 
 /// Weight of a new measurement in the moving averages.
-const NEW_WEIGHT: f64 = 0.1;
+const NEW_SAMPLE_WEIGHT: f64 = 0.1;
 
 /// Moving averages of a pool's durations, in seconds.
 #[derive(Debug, Clone, Copy)]
-pub struct Pace {
+pub struct PoolTimings {
     wait: f64,
     call: f64,
 }
 
-impl Pace {
+impl PoolTimings {
     /// Defaults of a pool without measurements: calls are half full and nothing waits.
-    fn unknown(spec: &BatchSpec) -> Self {
+    fn defaults(spec: &BatchSpec) -> Self {
         let call = spec.call + spec.piece * (spec.pieces as u32 / 2);
         Self { wait: 0.0, call: call.as_secs_f64() }
     }
@@ -33,33 +33,33 @@
     }
 }
 
-fn towards(before: &mut f64, measured: Duration) {
-    *before += (measured.as_secs_f64() - *before) * NEW_WEIGHT;
+fn update_average(before: &mut f64, measured: Duration) {
+    *before += (measured.as_secs_f64() - *before) * NEW_SAMPLE_WEIGHT;
 }
 
 /// Moving averages of all pools.
 #[derive(Debug, Default)]
-pub struct Paces {
-    pools: HashMap<Name, Pace>,
+pub struct Timings {
+    pools: HashMap<Name, PoolTimings>,
 }
 
-impl Paces {
+impl Timings {
     /// Moving averages of a pool.
-    pub fn get(&self, pool: &str, spec: &BatchSpec) -> Pace {
-        self.pools.get(pool).copied().unwrap_or_else(|| Pace::unknown(spec))
+    pub fn get(&self, pool: &str, spec: &BatchSpec) -> PoolTimings {
+        self.pools.get(pool).copied().unwrap_or_else(|| PoolTimings::defaults(spec))
     }
 
-    fn entry(&mut self, pool: &Name, spec: &BatchSpec) -> &mut Pace {
-        self.pools.entry(pool.clone()).or_insert_with(|| Pace::unknown(spec))
+    fn entry(&mut self, pool: &Name, spec: &BatchSpec) -> &mut PoolTimings {
+        self.pools.entry(pool.clone()).or_insert_with(|| PoolTimings::defaults(spec))
     }
 
     /// Records that a piece was sent `waited` after it first could be.
-    pub(super) fn waited(&mut self, pool: &Name, spec: &BatchSpec, waited: Duration) {
-        towards(&mut self.entry(pool, spec).wait, waited);
+    pub(super) fn record_wait(&mut self, pool: &Name, spec: &BatchSpec, waited: Duration) {
+        update_average(&mut self.entry(pool, spec).wait, waited);
     }
 
     /// Records that a call took `took`.
-    pub(super) fn called(&mut self, pool: &Name, spec: &BatchSpec, took: Duration) {
-        towards(&mut self.entry(pool, spec).call, took);
+    pub(super) fn record_call(&mut self, pool: &Name, spec: &BatchSpec, took: Duration) {
+        update_average(&mut self.entry(pool, spec).call, took);
     }
 }
