--- a/src/direct/core.rs
+++ b/src/direct/core.rs
@@ -337,7 +337,7 @@
         self.submit_early_requests(now);
         let (unanswered, streams) = self.requests.end_all(now);
         let own = self.members.own().address;
-        self.owners.end_all(own);
+        self.owners.hand_back_jobs(own);
         self.log(LogEvent::Stopped {
             stopping_ms: self.stop.map_or(0, |s| ms(s.elapsed(now))),
             unanswered,
@@ -370,7 +370,7 @@
             self.send_heartbeat(now);
         }
         self.pull_missing_documents(now);
-        self.owners.look(&self.table, now);
+        self.owners.run_timers(&self.table, now);
         self.requests.look(&self.table, now);
     }
 
@@ -441,7 +441,7 @@
         self.lateness.waited(queue_delay.min(now.saturating_sub(self.resumed_at)), now);
         let lateness = self.lateness.now(now);
         self.requests.set_lateness(lateness);
-        self.owners.set_lateness(lateness);
+        self.owners.set_event_lag(lateness);
         if let Some(is_overloaded) = self.lateness.changed(now) {
             self.log(LogEvent::Overloaded { is_overloaded, late_ms: ms(lateness) });
         }
--- a/src/direct/endpoint_status.rs
+++ b/src/direct/endpoint_status.rs
@@ -73,7 +73,7 @@
         now: Timestamp,
     ) -> bool {
         let was_cold = self.requests.told_cold(endpoint, left, at, now);
-        self.owners.told_cold(endpoint, left, at);
+        self.owners.cold_announced(endpoint, left, at);
         !left.is_zero() && !was_cold
     }
 
@@ -115,7 +115,7 @@
         let state = EntryState::Leaving.as_str();
         self.log(LogEvent::Endpoint { endpoint: id.clone(), state, source: source.to_owned() });
         self.requests.changed(&self.table, &Merged::default(), &[], now);
-        self.owners.changed(&self.table, &Merged::default(), &[], now);
+        self.owners.table_changed(&self.table, &Merged::default(), &[], now);
         self.check_entries_for_crashes(&[id], now);
     }
 
--- a/src/direct/owner/admission.rs
+++ b/src/direct/owner/admission.rs
@@ -61,10 +61,10 @@
         }
         self.send_to_gateway(id, PeerMessage::Accepted(id));
         let mut run = JobRun::new(job, table, now);
-        run.inner_home = self.least_loaded_data_centre(&run);
+        run.heavy_data_centre = self.least_loaded_data_centre(&run);
         for (spec, stage) in run.job.stages.iter().zip(&run.stages) {
             for made in stage.results() {
-                self.makers.taken_over(&made.endpoint, spec.result_bytes);
+                self.producers.taken_over(&made.endpoint, spec.result_bytes);
             }
         }
         self.timers.add(run.deadline, Timer::Deadline(id));
@@ -99,7 +99,7 @@
             return;
         };
         let stages = run.stages.iter().enumerate();
-        let done = stages.filter(|(_, s)| s.told && !s.pieces.contains(&Piece::Used));
+        let done = stages.filter(|(_, s)| s.reported && !s.pieces.contains(&Piece::Freed));
         let done: Vec<_> = done.map(|(stage, s)| (stage, s.results())).collect();
         let is_ready = run.ready;
         self.send_to_gateway(id, PeerMessage::Accepted(id));
@@ -153,7 +153,7 @@
         let endpoints = pool.endpoints.count_in_regions(allowed_regions) as f64;
         load.slots = endpoints * f64::from(spec.slots);
         load.room =
-            (spec.room_bytes as f64).mul_add(endpoints, -(pool.endpoints.of_others() as f64));
+            (spec.room_bytes as f64).mul_add(endpoints, -(pool.endpoints.used_by_others() as f64));
         load.backlog = backlog(pool.waiting, pool.running, spec);
         load
     }
@@ -173,7 +173,8 @@
         // Unfinished pieces per endpoint, in thousandths.
         let load = |data_centre: &Name| {
             let loads = pools.iter().map(|pool| {
-                (pool.open_at(data_centre) * 1_000) / pool.endpoints.listed_in(data_centre).max(1)
+                (pool.unfinished_in(data_centre) * 1_000)
+                    / pool.endpoints.listed_in(data_centre).max(1)
             });
             loads.max().unwrap_or_default()
         };
--- a/src/direct/owner/batching.rs
+++ b/src/direct/owner/batching.rs
@@ -59,7 +59,7 @@
             let Some((endpoint, taken, examined)) = next else {
                 return;
             };
-            self.looked_at += examined as u64;
+            self.examined += examined as u64;
             let batch = taken.iter().flat_map(|taken| self.pieces(taken)).collect();
             self.send_call(pool, spec, endpoint, batch, now);
         }
@@ -109,7 +109,7 @@
             *slot = Piece::Running { call, attempts };
             if run.stages[stage].started.is_none() {
                 run.stages[stage].started = Some(now);
-                waited.extend(run.stages[stage].opened.map(|at| now.saturating_sub(at)));
+                waited.extend(run.stages[stage].runnable_since.map(|at| now.saturating_sub(at)));
             }
             total += bytes;
             pieces.push(((id, stage, piece), bytes));
@@ -118,7 +118,7 @@
             self.timings.record_wait(pool, spec, waited);
         }
         self.repeats.first(pool, firsts, now);
-        self.makers.sent(&endpoint.id, total);
+        self.producers.sent(&endpoint.id, total);
         self.cold.sent(&endpoint, pieces.len(), now);
         let expected = spec.call + spec.piece * orders.len() as u32;
         let wait_limit = expected.mul_f64(OVERDUE_FACTOR) + OVERDUE_MARGIN;
--- a/src/direct/owner/endpoints.rs
+++ b/src/direct/owner/endpoints.rs
@@ -15,7 +15,7 @@
     /// Free result memory in bytes.
     pub(super) free_bytes: u64,
     /// Bytes of result memory used by other owners.
-    pub(super) of_others: u64,
+    pub(super) used_by_others: u64,
     /// Whether the endpoint accepts a call now.
     pub(super) is_free: bool,
     /// Whether the endpoint is called only if all others of the pool are avoided, too.
@@ -34,7 +34,7 @@
 struct EndpointClass {
     count: usize,
     /// Bytes of result memory used by other owners.
-    of_others: u64,
+    used_by_others: u64,
     by_data_centre: BTreeMap<Name, DataCentreEndpoints>,
 }
 
@@ -51,7 +51,7 @@
     fn add(&mut self, listed: &Listed) {
         let (endpoint, state) = (&listed.endpoint, listed.state);
         self.count += 1;
-        self.of_others += state.of_others;
+        self.used_by_others += state.used_by_others;
         let local = self.by_data_centre.entry(endpoint.data_centre.clone()).or_default();
         local.count += 1;
         local.region = region_of(endpoint).map(str::to_owned);
@@ -63,7 +63,7 @@
     fn remove(&mut self, listed: &Listed) {
         let (endpoint, state) = (&listed.endpoint, listed.state);
         self.count -= 1;
-        self.of_others -= state.of_others;
+        self.used_by_others -= state.used_by_others;
         let Some(local) = self.by_data_centre.get_mut(&endpoint.data_centre) else {
             return;
         };
@@ -115,8 +115,8 @@
     }
 
     /// Bytes of result memory that other owners use at the endpoints in use.
-    pub(super) const fn of_others(&self) -> u64 {
-        self.in_use().of_others
+    pub(super) const fn used_by_others(&self) -> u64 {
+        self.in_use().used_by_others
     }
 
     /// Number of endpoints in use in a data centre.
--- a/src/direct/owner/entry.rs
+++ b/src/direct/owner/entry.rs
@@ -4,9 +4,9 @@
 
 use crate::direct::log_events::ms;
 use crate::direct::owner::bookings::Booking;
-use crate::direct::owner::jobs::{HEAVY, JobRun};
+use crate::direct::owner::jobs::{HEAVY_BYTES, JobRun};
 use crate::direct::owner::ledger::{Entry, StageEntry};
-use crate::direct::owner::plan::{Filling, PlanContext, expected_runs, fillings};
+use crate::direct::owner::plan::{Occupancy, PlanContext, expected_runs, occupancies};
 use crate::direct::owner::queue::{Rank, Waiting};
 use crate::message::Timestamp;
 use crate::policy::path::HOLD_SLACK;
@@ -22,30 +22,30 @@
 /// a stage should have started or ended. A job to which nothing happens is therefore refreshed at
 /// most twenty times a second.
 pub(super) fn entry(run: &mut JobRun, context: PlanContext<'_>) -> Entry {
-    let fillings = fillings(run, &expected_runs(run, context));
+    let occupancies = occupancies(run, &expected_runs(run, context));
     let moves_with_time = moves_with_time(run);
     let mut refresh_at: Option<Duration> = None;
-    let mut stages = Vec::with_capacity(fillings.len());
-    for (stage, filling) in fillings.into_iter().enumerate() {
+    let mut stages = Vec::with_capacity(occupancies.len());
+    for (stage, occupancy) in occupancies.into_iter().enumerate() {
         let deferral = remaining_deferral(run, stage, context.now);
         let next_plan_step =
-            filling.map(|f| next_plan_step(run, stage, f)).filter(|_| !moves_with_time);
+            occupancy.map(|f| next_plan_step(run, stage, f)).filter(|_| !moves_with_time);
         let moves_with_time = moves_with_time.then_some(STEP);
         let recheck = deferral.filter(|wait| !wait.is_zero()).map(|w| w.max(MIN_DEFERRAL));
         refresh_at =
             [refresh_at, next_plan_step, moves_with_time, recheck].into_iter().flatten().min();
         if deferral == Some(Duration::ZERO) {
-            run.stages[stage].opened.get_or_insert(context.now);
+            run.stages[stage].runnable_since.get_or_insert(context.now);
         }
-        stages.push(stage_entry(run, stage, deferral, filling, context.now));
+        stages.push(stage_entry(run, stage, deferral, occupancy, context.now));
     }
     Entry { stages, refresh_at: refresh_at.map(|time| context.now + time) }
 }
 
 /// Time until a stage should have started, or until its results should have been fetched.
-fn next_plan_step(run: &JobRun, stage: usize, filling: Filling) -> Duration {
-    let is_begun = run.stages[stage].started.is_some() || filling.from.is_zero();
-    let ends = if is_begun { filling.until } else { filling.from };
+fn next_plan_step(run: &JobRun, stage: usize, occupancy: Occupancy) -> Duration {
+    let is_begun = run.stages[stage].started.is_some() || occupancy.from.is_zero();
+    let ends = if is_begun { occupancy.until } else { occupancy.from };
     ends.max(STEP)
 }
 
@@ -53,7 +53,7 @@
     run: &JobRun,
     stage: usize,
     deferral: Option<Duration>,
-    filling: Option<Filling>,
+    occupancy: Option<Occupancy>,
     now: Timestamp,
 ) -> StageEntry {
     let waiting = run.stages[stage].waiting();
@@ -61,24 +61,25 @@
     let late = if moves_with_time(run) { STEP / 2 } else { Duration::ZERO };
     StageEntry {
         waiting,
-        running: run.stages[stage].open() - waiting,
-        heavy_data_centre: run.inner_home.clone().filter(|_| run.is_heavy(stage)),
+        running: run.stages[stage].unfinished() - waiting,
+        heavy_data_centre: run.heavy_data_centre.clone().filter(|_| run.is_heavy(stage)),
         queued: (deferral == Some(Duration::ZERO)).then(|| queued(run, stage, waiting)),
-        booking: filling.map(|f| Booking::new(f.from + late, f.until + late, f.bytes, now)),
+        booking: occupancy.map(|f| Booking::new(f.from + late, f.until + late, f.bytes, now)),
     }
 }
 
 /// Whether the expected times of a job move with the clock: it waits for a call, or for its results
 /// to be fetched.
 fn moves_with_time(run: &JobRun) -> bool {
-    let waits = |stage: usize| run.stages[stage].waiting() > 0 && run.is_open(stage);
+    let waits = |stage: usize| run.stages[stage].waiting() > 0 && run.is_runnable(stage);
     run.ready || (0..run.stages.len()).any(waits)
 }
 
 fn queued(run: &JobRun, stage: usize, pieces: usize) -> Waiting {
-    let rest = run.from_stage(stage) + run.job.after;
+    let rest = run.critical_path_from(stage) + run.job.after;
     let latest_start_ms = ms(run.objective) as i64 - ms(rest) as i64;
-    let preferred = run.home(stage).filter(|_| run.moved_bytes(stage) >= HEAVY).cloned();
+    let preferred =
+        run.preferred_data_centre(stage).filter(|_| run.moved_bytes(stage) >= HEAVY_BYTES).cloned();
     let rank = Rank { latest_start_ms, job: run.job.id, stage };
     let (bytes, allowed_regions) = (run.job.stages[stage].result_bytes, run.job.homes.clone());
     Waiting { rank, pieces, bytes, preferred, allowed_regions }
@@ -88,12 +89,12 @@
 /// independent stage is started late enough to end with the others, so that its results don't
 /// occupy memory while they wait. `None` where no piece may be sent.
 fn remaining_deferral(run: &JobRun, stage: usize, now: Timestamp) -> Option<Duration> {
-    if run.stages[stage].waiting() == 0 || !run.is_open(stage) {
+    if run.stages[stage].waiting() == 0 || !run.is_runnable(stage) {
         return None;
     }
-    if !run.stands_alone(stage) {
+    if !run.is_independent(stage) {
         return Some(Duration::ZERO);
     }
-    let others = run.remaining(Some(stage), now);
+    let others = run.remaining_time(Some(stage), now);
     Some(others.saturating_sub(run.calls[stage] + HOLD_SLACK))
 }
--- a/src/direct/owner/inspect.rs
+++ b/src/direct/owner/inspect.rs
@@ -5,7 +5,7 @@
 
 use crate::direct::log_events::ms;
 use crate::direct::owner::jobs::JobRun;
-use crate::direct::owner::plan::{Filling, PlanContext, expected_runs, fillings};
+use crate::direct::owner::plan::{Occupancy, PlanContext, expected_runs, occupancies};
 use crate::direct::owner::queue::Rank;
 use crate::direct::owner::scheduler::Scheduler;
 use crate::direct::owner::timings::PoolTimings;
@@ -25,26 +25,26 @@
     /// Stages whose pieces may be sent, most urgent first.
     pub queued: Vec<Rank>,
     /// Unfinished pieces by the data centre that they are bound to.
-    pub open_at: BTreeMap<Name, usize>,
+    pub unfinished_in: BTreeMap<Name, usize>,
     /// Result memory that is expected to be in use over time, in bytes.
     pub taken: Timeline,
     /// Number of endpoints in use, by data centre.
     pub usable: BTreeMap<Name, usize>,
     /// Bytes of result memory that other owners use at these endpoints.
-    pub of_others: u64,
+    pub used_by_others: u64,
     /// Free result memory of the free endpoints in use, by endpoint id, in bytes.
     pub free: BTreeMap<Name, u64>,
 }
 
 impl Scheduler {
     /// The active jobs: admitted and not over.
-    pub fn held(&self) -> impl Iterator<Item = (&JobId, &JobRun)> {
+    pub fn active_jobs(&self) -> impl Iterator<Item = (&JobId, &JobRun)> {
         self.jobs.iter()
     }
 
     /// Number of jobs and waiting stages examined for decisions since the start.
-    pub const fn looked_at(&self) -> u64 {
-        self.looked_at
+    pub const fn examined(&self) -> u64 {
+        self.examined
     }
 
     /// State of a pool, brought up to date; `None` if the ledger has no such pool yet.
@@ -52,30 +52,35 @@
         self.update_ledger(table, now);
         let pool = self.ledger.get_mut(pool)?;
         let homes = table.deployment.pools.iter().flat_map(|p| table.members(&p.name));
-        let homes = homes.map(|e| (e.data_centre.clone(), pool.open_at(&e.data_centre)));
+        let homes = homes.map(|e| (e.data_centre.clone(), pool.unfinished_in(&e.data_centre)));
         let data_centres = pool.endpoints.data_centres();
         let usable = data_centres.map(|dc| (dc.clone(), pool.endpoints.count_in(dc)));
-        let open_at = homes.filter(|(_, open)| *open > 0).collect();
+        let unfinished_in = homes.filter(|(_, open)| *open > 0).collect();
         Some(PoolState {
             waiting: pool.waiting,
             running: pool.running,
             queued: pool.queue.in_order(ms(now) as i64),
-            open_at,
+            unfinished_in,
             usable: usable.collect(),
             taken: pool.bookings.timeline(now),
-            of_others: pool.endpoints.of_others(),
+            used_by_others: pool.endpoints.used_by_others(),
             free: pool.endpoints.all_free(),
         })
     }
 
     /// Result memory that each stage of a job is expected to occupy, computed anew.
-    pub fn planned(&self, run: &JobRun, table: &Table, now: Timestamp) -> Vec<Option<Filling>> {
+    pub fn planned_occupancy(
+        &self,
+        run: &JobRun,
+        table: &Table,
+        now: Timestamp,
+    ) -> Vec<Option<Occupancy>> {
         let context = PlanContext { timings: &self.timings, calls: &self.calls, table, now };
-        fillings(run, &expected_runs(run, context))
+        occupancies(run, &expected_runs(run, context))
     }
 
     /// Recent average wait for a call and duration of a call in a pool.
-    pub fn pace(&self, pool: &str, table: &Table) -> Option<(Duration, Duration)> {
+    pub fn recent_timings(&self, pool: &str, table: &Table) -> Option<(Duration, Duration)> {
         let pool_timings: PoolTimings = self.timings.get(pool, table.batch(pool)?);
         Some((pool_timings.wait(), pool_timings.call()))
     }
--- a/src/direct/owner/jobs.rs
+++ b/src/direct/owner/jobs.rs
@@ -11,7 +11,7 @@
 
 /// Bytes from which on avoiding a transfer between data centres is worth a wait for an endpoint in
 /// the preferred one.
-pub(super) const HEAVY: u64 = 100_000;
+pub(super) const HEAVY_BYTES: u64 = 100_000;
 
 /// State of one piece of a stage.
 #[derive(Debug, Clone, PartialEq)]
@@ -29,9 +29,9 @@
         attempts: u32,
     },
     /// The result was produced and is kept by an endpoint.
-    Made(Made),
+    Produced(Made),
     /// The result was used and is no longer kept.
-    Used,
+    Freed,
 }
 
 /// State of one stage of a job.
@@ -40,17 +40,17 @@
     /// Pieces of the stage.
     pub pieces: Vec<Piece>,
     /// Whether the results were reported to the gateway, or received from it.
-    pub told: bool,
+    pub reported: bool,
     /// Time when the first piece was sent.
     pub started: Option<Timestamp>,
     /// Time when the pieces could first be sent.
-    pub opened: Option<Timestamp>,
+    pub runnable_since: Option<Timestamp>,
 }
 
 impl StageRun {
     /// Whether every piece has been produced.
     pub fn is_done(&self) -> bool {
-        self.pieces.iter().all(|p| matches!(p, Piece::Made(_) | Piece::Used))
+        self.pieces.iter().all(|p| matches!(p, Piece::Produced(_) | Piece::Freed))
     }
 
     /// Whether a piece still has to fetch its inputs; `has_fetched` is asked about the numbers of
@@ -59,7 +59,7 @@
         self.pieces.iter().any(|p| match p {
             Piece::Waiting { .. } => true,
             Piece::Running { call, .. } => !has_fetched(*call),
-            Piece::Made(_) | Piece::Used => false,
+            Piece::Produced(_) | Piece::Freed => false,
         })
     }
 
@@ -69,20 +69,20 @@
     }
 
     /// Number of pieces that have not been produced.
-    pub fn open(&self) -> usize {
-        let made = |p: &&Piece| matches!(p, Piece::Made(_) | Piece::Used);
+    pub fn unfinished(&self) -> usize {
+        let made = |p: &&Piece| matches!(p, Piece::Produced(_) | Piece::Freed);
         self.pieces.len() - self.pieces.iter().filter(made).count()
     }
 
     /// Number of pieces whose results occupy result memory or will do so.
-    pub fn unused(&self) -> usize {
-        self.pieces.iter().filter(|p| !matches!(p, Piece::Used)).count()
+    pub fn unfreed(&self) -> usize {
+        self.pieces.iter().filter(|p| !matches!(p, Piece::Freed)).count()
     }
 
     /// The results that are kept; one for each piece where the stage is done and nothing was freed.
     pub fn results(&self) -> Vec<Made> {
         let made = |p: &Piece| match p {
-            Piece::Made(made) => Some(made.clone()),
+            Piece::Produced(made) => Some(made.clone()),
             _ => None,
         };
         self.pieces.iter().filter_map(made).collect()
@@ -103,7 +103,7 @@
     /// Whether the gateway was notified that all results are there.
     pub ready: bool,
     /// Data centre of the stages that exchange large results.
-    pub inner_home: Option<Name>,
+    pub heavy_data_centre: Option<Name>,
     /// For each stage, the expected duration of a call with all its pieces, or as many as a call
     /// can hold.
     pub calls: Vec<Duration>,
@@ -120,18 +120,18 @@
             .map(|stage| {
                 let is_done = stage.pieces > 0 && stage.done.len() == stage.pieces;
                 let pieces = if is_done {
-                    stage.done.iter().cloned().map(Piece::Made).collect()
+                    stage.done.iter().cloned().map(Piece::Produced).collect()
                 } else {
                     vec![Piece::Waiting { attempts: u32::from(job.resubmitted) }; stage.pieces]
                 };
-                StageRun { pieces, told: is_done, started: None, opened: None }
+                StageRun { pieces, reported: is_done, started: None, runnable_since: None }
             })
             .collect();
         let objective = now + job.to_objective;
         let deadline = now + job.to_deadline;
         let calls = expected_calls(&job, table);
-        let (inner_home, entry) = (None, Entry::default());
-        Self { job, objective, deadline, stages, ready: false, inner_home, calls, entry }
+        let (heavy_data_centre, entry) = (None, Entry::default());
+        Self { job, objective, deadline, stages, ready: false, heavy_data_centre, calls, entry }
     }
 
     /// Whether all stages are done.
@@ -140,7 +140,7 @@
     }
 
     /// Whether all stages that this one depends on are done.
-    pub fn is_open(&self, stage: usize) -> bool {
+    pub fn is_runnable(&self, stage: usize) -> bool {
         self.job.stages[stage].after.iter().all(|&a| self.stages[a].is_done())
     }
 
@@ -154,7 +154,7 @@
     /// Whether inputs of a stage were freed.
     pub fn lacks_inputs(&self, stage: usize) -> bool {
         let mut before = self.job.stages[stage].after.iter();
-        before.any(|&b| self.stages[b].pieces.contains(&Piece::Used))
+        before.any(|&b| self.stages[b].pieces.contains(&Piece::Freed))
     }
 
     /// Whether no other stage depends on this one.
@@ -164,14 +164,14 @@
 
     /// Whether a stage depends on no other and no other depends on it. Such a stage is deferred, so
     /// that its results don't wait for those of the others.
-    pub fn stands_alone(&self, stage: usize) -> bool {
+    pub fn is_independent(&self, stage: usize) -> bool {
         self.is_last(stage) && self.job.stages[stage].after.is_empty()
     }
 
     /// Whether a stage exchanges results with others that are large enough for its data centre to
     /// matter.
     pub fn is_heavy(&self, stage: usize) -> bool {
-        !self.stands_alone(stage) && self.moved_bytes(stage) >= HEAVY
+        !self.is_independent(stage) && self.moved_bytes(stage) >= HEAVY_BYTES
     }
 
     /// Indices of the stages for which [`Self::is_heavy`] holds.
@@ -181,11 +181,11 @@
 
     /// Preferred data centre of a stage: that of the stages with which it exchanges results or, for
     /// an independent stage, the data centre of the job, where the last results are needed.
-    pub fn home(&self, stage: usize) -> Option<&Name> {
-        if self.stands_alone(stage) {
+    pub fn preferred_data_centre(&self, stage: usize) -> Option<&Name> {
+        if self.is_independent(stage) {
             Some(&self.job.data_centre)
         } else {
-            self.inner_home.as_ref()
+            self.heavy_data_centre.as_ref()
         }
     }
 
@@ -206,13 +206,13 @@
 
     /// Stages that must run again to provide the inputs of `stage`: those that it depends on, and
     /// the stages before them as far as their results are no longer kept.
-    pub fn to_make_again(&self, stage: usize) -> BTreeSet<usize> {
+    pub fn stages_to_rerun(&self, stage: usize) -> BTreeSet<usize> {
         let mut again = BTreeSet::new();
         let mut open = self.job.stages[stage].after.clone();
         while let Some(index) = open.pop() {
             if again.insert(index) {
                 let before = self.job.stages[index].after.iter().copied();
-                open.extend(before.filter(|&b| self.stages[b].pieces.contains(&Piece::Used)));
+                open.extend(before.filter(|&b| self.stages[b].pieces.contains(&Piece::Freed)));
             }
         }
         again
@@ -220,7 +220,7 @@
 
     /// Time from `now` until all stages are done if each takes one call, without the branch that
     /// ends in stage `without`.
-    pub fn remaining(&self, without: Option<usize>, now: Timestamp) -> Duration {
+    pub fn remaining_time(&self, without: Option<usize>, now: Timestamp) -> Duration {
         let mut ends: Vec<Duration> = Vec::with_capacity(self.stages.len());
         let mut longest = Duration::ZERO;
         for (i, (spec, run)) in self.job.stages.iter().zip(&self.stages).enumerate() {
@@ -240,7 +240,7 @@
     }
 
     /// Time from the start of a stage until all stages that depend on it are done.
-    pub fn from_stage(&self, stage: usize) -> Duration {
+    pub fn critical_path_from(&self, stage: usize) -> Duration {
         let mut tails: Vec<Duration> = vec![Duration::ZERO; self.stages.len()];
         for i in (stage..self.stages.len()).rev() {
             let later =
--- a/src/direct/owner/ledger.rs
+++ b/src/direct/owner/ledger.rs
@@ -43,7 +43,7 @@
     pub(super) waiting: usize,
     pub(super) running: usize,
     /// Unfinished pieces by the data centre that they are bound to.
-    open_at: HashMap<Name, usize>,
+    unfinished_in: HashMap<Name, usize>,
     pub(super) queue: Queue,
     pub(super) bookings: Bookings,
     pub(super) endpoints: Endpoints,
@@ -51,15 +51,16 @@
 
 impl PoolLedger {
     /// Unfinished pieces that are bound to a data centre.
-    pub(super) fn open_at(&self, data_centre: &str) -> usize {
-        self.open_at.get(data_centre).copied().unwrap_or_default()
+    pub(super) fn unfinished_in(&self, data_centre: &str) -> usize {
+        self.unfinished_in.get(data_centre).copied().unwrap_or_default()
     }
 
     fn add_entry(&mut self, entry: &StageEntry) {
         self.waiting += entry.waiting;
         self.running += entry.running;
         if let Some(data_centre) = &entry.heavy_data_centre {
-            *self.open_at.entry(data_centre.clone()).or_default() += entry.waiting + entry.running;
+            *self.unfinished_in.entry(data_centre.clone()).or_default() +=
+                entry.waiting + entry.running;
         }
         if let Some(queued) = &entry.queued {
             self.queue.add(queued);
@@ -75,7 +76,7 @@
         let open = entry
             .heavy_data_centre
             .as_ref()
-            .and_then(|data_centre| self.open_at.get_mut(data_centre));
+            .and_then(|data_centre| self.unfinished_in.get_mut(data_centre));
         if let Some(open) = open {
             *open -= entry.waiting + entry.running;
         }
--- a/src/direct/owner/outcomes.rs
+++ b/src/direct/owner/outcomes.rs
@@ -28,7 +28,7 @@
             return;
         };
         let took = now.saturating_sub(call.sent);
-        self.makers.ended(&call.endpoint.id);
+        self.producers.ended(&call.endpoint.id);
         self.dirty.insert(call.pool.clone());
         self.out.push(Action::Log(LogEvent::BatchEnded {
             call: id,
@@ -48,7 +48,7 @@
                 self.handle_pieces(&call, id, outcomes, table, now);
             }
             BatchOutcome::Full | BatchOutcome::Failed(CallFailure::TurnedAway) => {
-                self.makers.full(&call.endpoint.id, now);
+                self.producers.full(&call.endpoint.id, now);
                 self.requeue_pieces(&call, id, false, table, now);
             }
             BatchOutcome::Failed(CallFailure::Withheld) => {
@@ -69,7 +69,7 @@
     }
 
     pub(super) fn avoid(&mut self, endpoint: &Name, cause: &'static str, now: Timestamp) {
-        self.makers.failed(endpoint, now);
+        self.producers.failed(endpoint, now);
         let endpoint = endpoint.clone();
         self.out.push(Action::Log(LogEvent::Suspicion { endpoint, avoided: true, cause }));
     }
@@ -86,9 +86,9 @@
             return;
         }
         let ratio = took.as_secs_f64() / call.expected.as_secs_f64().max(0.001);
-        self.makers.succeeded(&call.endpoint.id, ratio);
+        self.producers.succeeded(&call.endpoint.id, ratio);
         let pool = table.members(&call.pool);
-        if self.makers.avoid_if_slow(&call.endpoint.id, &call.pool, pool, now) {
+        if self.producers.avoid_if_slow(&call.endpoint.id, &call.pool, pool, now) {
             let endpoint = call.endpoint.id.clone();
             let event = LogEvent::Suspicion { endpoint, avoided: true, cause: "slow" };
             self.out.push(Action::Log(event));
@@ -105,7 +105,7 @@
     ) {
         let missing = call.pieces.len().saturating_sub(outcomes.len());
         let outcomes = outcomes.into_iter().chain(vec![PieceOutcome::Failed; missing]);
-        let mut no_room = false;
+        let mut no_memory = false;
         for (&(piece, bytes), outcome) in call.pieces.iter().zip(outcomes) {
             let (job, stage, _) = piece;
             if let PieceOutcome::Made(handle) = outcome {
@@ -113,16 +113,16 @@
                 self.piece_produced(piece, bytes, made, table);
                 continue;
             }
-            self.makers.freed(&call.endpoint.id, bytes);
+            self.producers.freed(&call.endpoint.id, bytes);
             if !self.is_running(piece, id) {
                 continue;
             }
             match outcome {
                 PieceOutcome::NoRoom => {
-                    let room = table.batch(&call.pool).map_or(0, |s| s.room_bytes);
-                    let left = self.makers.left(&call.endpoint.id, room, now);
-                    self.makers.no_room(&call.endpoint.id, left, now);
-                    no_room = true;
+                    let capacity = table.batch(&call.pool).map_or(0, |s| s.room_bytes);
+                    let free_bytes = self.producers.free_bytes(&call.endpoint.id, capacity, now);
+                    self.producers.no_result_memory(&call.endpoint.id, free_bytes, now);
+                    no_memory = true;
                     self.requeue(piece, true, table, now);
                 }
                 PieceOutcome::Failed => self.requeue(piece, true, table, now),
@@ -132,7 +132,7 @@
                 }
             }
         }
-        if no_room && self.may_ask_report(&call.endpoint, table, now) {
+        if no_memory && self.may_ask_report(&call.endpoint, table, now) {
             self.out.push(Action::RequestReport(call.endpoint.clone()));
         }
         for job in call.jobs() {
@@ -151,7 +151,7 @@
         match slot {
             // The result of a piece that was requeued in the meantime is as good as any.
             Some(slot @ (Piece::Running { .. } | Piece::Waiting { .. })) => {
-                *slot = Piece::Made(made)
+                *slot = Piece::Produced(made)
             }
             _ => self.free_result(&made, bytes, table),
         }
@@ -173,7 +173,7 @@
         now: Timestamp,
     ) {
         for &(piece, bytes) in &call.pieces {
-            self.makers.freed(&call.endpoint.id, bytes);
+            self.producers.freed(&call.endpoint.id, bytes);
             if self.is_running(piece, id) {
                 self.requeue(piece, may_have_run, table, now);
             }
@@ -233,16 +233,16 @@
         }
         let mut freed = Vec::new();
         let mut again = Vec::new();
-        for index in run.to_make_again(stage) {
+        for index in run.stages_to_rerun(stage) {
             let spec = &run.job.stages[index];
             for piece in &mut run.stages[index].pieces {
-                if let Piece::Made(made) = piece {
+                if let Piece::Produced(made) = piece {
                     freed.push((made.clone(), spec.result_bytes));
                 }
                 *piece = Piece::Waiting { attempts: MAX_ATTEMPTS - 1 };
                 again.push(spec.pool.clone());
             }
-            run.stages[index].told = false;
+            run.stages[index].reported = false;
         }
         for (made, bytes) in freed {
             self.free_result(&made, bytes, table);
--- a/src/direct/owner/owners.rs
+++ b/src/direct/owner/owners.rs
@@ -11,7 +11,7 @@
 use crate::direct::event::Action;
 use crate::direct::limits::known::KnownLimits;
 use crate::direct::limits::permits::Purpose;
-use crate::direct::owner::makers::Usage;
+use crate::direct::owner::producers::Usage;
 use crate::direct::owner::scheduler::Scheduler;
 use crate::direct::peers::message::{Job, JobId};
 use crate::direct::poison::suspects::{Quarantined, Suspects};
@@ -55,9 +55,9 @@
     }
 
     /// Sets the event lag of this process.
-    pub fn set_lateness(&mut self, event_lag: Duration) {
+    pub fn set_event_lag(&mut self, event_lag: Duration) {
         self.event_lag = event_lag;
-        self.for_each(|owner| owner.set_lateness(event_lag));
+        self.for_each(|owner| owner.set_event_lag(event_lag));
     }
 
     /// Handles the end of a suspension of this process.
@@ -109,12 +109,12 @@
             let first_call = *created * CALLS_PER_CELL;
             let mut owner = Scheduler::of_cell(cell.clone(), bounds, first_call, cold.clone());
             *created += 1;
-            owner.set_lateness(event_lag);
+            owner.set_event_lag(event_lag);
             owner.set_suspects(suspects.clone());
             owner.backoffs = backoffs.clone();
             owner.limits = limits.clone();
             for (other, usage) in announced {
-                owner.told_usage(*other, usage.clone(), table);
+                owner.usage_announced(*other, usage.clone(), table);
             }
             owner
         })
@@ -155,8 +155,8 @@
     }
 
     /// Handles the usage announced by another owner.
-    pub fn told_usage(&mut self, owner: SocketAddr, usage: Vec<Usage>, table: &Table) {
-        self.for_each(|cell| cell.told_usage(owner, usage.clone(), table));
+    pub fn usage_announced(&mut self, owner: SocketAddr, usage: Vec<Usage>, table: &Table) {
+        self.for_each(|cell| cell.usage_announced(owner, usage.clone(), table));
         if usage.is_empty() {
             self.announced.remove(&owner);
         } else {
@@ -165,9 +165,9 @@
     }
 
     /// Handles the removal of another owner.
-    pub fn owner_lost(&mut self, owner: SocketAddr, now: Timestamp) {
+    pub fn owner_removed(&mut self, owner: SocketAddr, now: Timestamp) {
         self.announced.remove(&owner);
-        self.for_each(|cell| cell.owner_lost(owner, now));
+        self.for_each(|cell| cell.owner_removed(owner, now));
     }
 
     /// Releases a job whose results are no longer needed.
@@ -176,17 +176,17 @@
     }
 
     /// Releases all jobs of a gateway that was removed.
-    pub fn release_all_of(&mut self, gateway: SocketAddr, incarnation: u64, table: &Table) {
-        self.for_each(|owner| owner.release_all_of(gateway, incarnation, table));
+    pub fn release_jobs_of(&mut self, gateway: SocketAddr, incarnation: u64, table: &Table) {
+        self.for_each(|owner| owner.release_jobs_of(gateway, incarnation, table));
     }
 
     /// Notifies other gateways, before this process ends, that it no longer owns their jobs.
-    pub fn end_all(&mut self, own: SocketAddr) {
-        self.for_each(|owner| owner.end_all(own));
+    pub fn hand_back_jobs(&mut self, own: SocketAddr) {
+        self.for_each(|owner| owner.hand_back_jobs(own));
     }
 
     /// Handles changes of endpoints or of the configuration.
-    pub fn changed(
+    pub fn table_changed(
         &mut self,
         table: &Table,
         merged: &Merged,
@@ -195,7 +195,7 @@
     ) {
         self.cold.learn(table, entered, now);
         self.for_each(|owner| {
-            owner.changed(table);
+            owner.table_changed(table);
             owner.cold.learn(table, entered, now);
             for endpoint in &merged.restarted {
                 owner.restarted(endpoint, table, now);
@@ -204,11 +204,11 @@
     }
 
     /// Handles the announcement of an endpoint, made at `at`, that it stays cold for `left`.
-    pub fn told_cold(&mut self, endpoint: &Endpoint, left: Duration, at: Timestamp) {
+    pub fn cold_announced(&mut self, endpoint: &Endpoint, left: Duration, at: Timestamp) {
         self.cold.told(endpoint, left, at);
         self.for_each(|owner| {
             owner.cold.told(endpoint, left, at);
-            owner.makers.mark_changed(&endpoint.id);
+            owner.producers.mark_changed(&endpoint.id);
         });
     }
 
@@ -234,14 +234,14 @@
     }
 
     /// Handles a permit that is valid until `until`.
-    pub fn permit_given(
+    pub fn permit_granted(
         &mut self,
         endpoint: &Arc<Endpoint>,
         purpose: Purpose,
         until: Timestamp,
         table: &Table,
     ) {
-        self.for_each(|owner| owner.permit_given(endpoint, purpose, until, table));
+        self.for_each(|owner| owner.permit_granted(endpoint, purpose, until, table));
     }
 
     /// Handles the refusal of a permit; its turn would be at `turn`.
@@ -256,14 +256,19 @@
     }
 
     /// Handles the return of data centres whose evacuation was withdrawn.
-    pub fn return_of(&mut self, data_centres: &BTreeSet<Name>, table: &Table, now: Timestamp) {
+    pub fn data_centres_returned(
+        &mut self,
+        data_centres: &BTreeSet<Name>,
+        table: &Table,
+        now: Timestamp,
+    ) {
         self.cold.return_of(data_centres, table, now);
         self.for_each(|owner| owner.cold.return_of(data_centres, table, now));
     }
 
     /// Runs timers that are due.
-    pub fn look(&mut self, table: &Table, now: Timestamp) {
-        self.for_each(|owner| owner.look(table, now));
+    pub fn run_timers(&mut self, table: &Table, now: Timestamp) {
+        self.for_each(|owner| owner.run_timers(table, now));
     }
 
     /// Takes the actions to perform.
--- a/src/direct/owner/pauses.rs
+++ b/src/direct/owner/pauses.rs
@@ -16,7 +16,7 @@
     /// cancelled if no other endpoint of the pool is available before the job's deadline; its
     /// gateway is sent the time until one is.
     pub(super) fn paused(&mut self, endpoint: &Endpoint, table: &Table, now: Timestamp) {
-        self.makers.mark_changed(&endpoint.id);
+        self.producers.mark_changed(&endpoint.id);
         let pools: Vec<Name> = table.batch_pools_of(&endpoint.id).cloned().collect();
         for pool in pools {
             if let Some(pause) = self.pool_pause(&pool, table, now) {
--- a/src/direct/owner/permits.rs
+++ b/src/direct/owner/permits.rs
@@ -71,7 +71,7 @@
     pub(super) fn set_limits(&mut self, limits: &Arc<KnownLimits>, table: &Table, now: Timestamp) {
         self.limits = limits.clone();
         for (id, _) in limits.lives() {
-            self.makers.mark_changed(id);
+            self.producers.mark_changed(id);
         }
         let pools: Vec<Name> =
             table.deployment.pools.iter().map(|pool| pool.name.clone()).collect();
@@ -134,7 +134,7 @@
     }
 
     /// Handles a permit that is valid until `until`.
-    pub(super) fn permit_given(
+    pub(super) fn permit_granted(
         &mut self,
         endpoint: &Arc<Endpoint>,
         purpose: Purpose,
@@ -152,7 +152,7 @@
             return self.out.extend(free);
         }
         self.permits.granted.insert(endpoint.id.clone(), until);
-        self.makers.mark_changed(&endpoint.id);
+        self.producers.mark_changed(&endpoint.id);
         self.dirty.extend(table.batch_pools_of(&endpoint.id).cloned());
     }
 
--- a/src/direct/owner/plan.rs
+++ b/src/direct/owner/plan.rs
@@ -24,7 +24,7 @@
 
 /// Expected start and end of a stage, as times from now.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Run {
+pub struct ExpectedRun {
     /// Start of the first call.
     pub start: Duration,
     /// End of the last call.
@@ -33,7 +33,7 @@
 
 /// Result memory that a stage is expected to occupy, with times from now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Filling {
+pub struct Occupancy {
     /// Time when the first result is begun.
     pub from: Duration,
     /// Time when the results are no longer needed.
@@ -43,22 +43,22 @@
 }
 
 /// When each stage of a job is expected to run.
-pub fn expected_runs(run: &JobRun, context: PlanContext<'_>) -> Vec<Run> {
-    let mut runs: Vec<Run> = Vec::with_capacity(run.stages.len());
+pub fn expected_runs(run: &JobRun, context: PlanContext<'_>) -> Vec<ExpectedRun> {
+    let mut runs: Vec<ExpectedRun> = Vec::with_capacity(run.stages.len());
     for (spec, stage) in run.job.stages.iter().zip(&run.stages) {
         let ready = spec.after.iter().map(|&a| runs[a].end).max().unwrap_or_default();
         let batch = context.table.batch(&spec.pool).filter(|_| !stage.is_done());
         let Some(batch) = batch else {
-            runs.push(Run { start: Duration::ZERO, end: ready });
+            runs.push(ExpectedRun { start: Duration::ZERO, end: ready });
             continue;
         };
         let pool_timings = context.timings.get(&spec.pool, batch);
         let waiting = ready + pool_timings.wait() + pool_timings.call();
         let at_work = remaining_call_time(stage, context);
         runs.push(match at_work {
-            Some(rest) if stage.waiting() == 0 => Run { start: Duration::ZERO, end: rest },
-            Some(rest) => Run { start: Duration::ZERO, end: rest.max(waiting) },
-            None => Run { start: ready + pool_timings.wait(), end: waiting },
+            Some(rest) if stage.waiting() == 0 => ExpectedRun { start: Duration::ZERO, end: rest },
+            Some(rest) => ExpectedRun { start: Duration::ZERO, end: rest.max(waiting) },
+            None => ExpectedRun { start: ready + pool_timings.wait(), end: waiting },
         });
     }
     defer(run, &mut runs);
@@ -67,36 +67,36 @@
 
 /// Result memory that each stage occupies if the stages run as given; `None` where it occupies
 /// none.
-pub fn fillings(run: &JobRun, runs: &[Run]) -> Vec<Option<Filling>> {
+pub fn occupancies(run: &JobRun, runs: &[ExpectedRun]) -> Vec<Option<Occupancy>> {
     let end = runs.iter().map(|r| r.end).max().unwrap_or_default();
     let stages = run.job.stages.iter().zip(&run.stages).enumerate();
-    let filling = |(index, (spec, stage)): (usize, (&_, &StageRun))| {
+    let occupancy = |(index, (spec, stage)): (usize, (&_, &StageRun))| {
         let spec: &JobStage = spec;
-        let bytes = stage.unused() as u64 * spec.result_bytes;
+        let bytes = stage.unfreed() as u64 * spec.result_bytes;
         let users = run.job.stages.iter().zip(runs);
         let users = users.filter(|(s, _)| s.after.contains(&index)).map(|(_, r)| r.start);
         let handed_on = end + run.job.after.min(HANDED_ON);
         let until = users.max().map_or(handed_on, |start| start + FETCHING);
-        (bytes > 0).then_some(Filling { from: runs[index].start, until, bytes })
+        (bytes > 0).then_some(Occupancy { from: runs[index].start, until, bytes })
     };
-    stages.map(filling).collect()
+    stages.map(occupancy).collect()
 }
 
 /// Moves deferred stages that have not started to where the others end: counted from the start,
 /// their results would seem to occupy half as much memory again as they do. Benchmark gain: 0.015
 /// on a score of 0.655, in fifteen paired day runs with bursts and losses.
-fn defer(run: &JobRun, runs: &mut [Run]) {
-    let others = (0..runs.len()).filter(|&s| !run.stands_alone(s)).map(|s| runs[s].end).max();
+fn defer(run: &JobRun, runs: &mut [ExpectedRun]) {
+    let others = (0..runs.len()).filter(|&s| !run.is_independent(s)).map(|s| runs[s].end).max();
     let Some(others) = others else {
         return;
     };
-    for stage in (0..runs.len()).filter(|&s| run.stands_alone(s)) {
+    for stage in (0..runs.len()).filter(|&s| run.is_independent(s)) {
         if run.stages[stage].started.is_some() || run.stages[stage].is_done() {
             continue;
         }
         let length = runs[stage].end.saturating_sub(runs[stage].start);
         let start = others.saturating_sub(length + HOLD_SLACK).max(runs[stage].start);
-        runs[stage] = Run { start, end: start + length };
+        runs[stage] = ExpectedRun { start, end: start + length };
     }
 }
 
--- a/src/direct/owner/makers.rs
+++ b/src/direct/owner/producers.rs
@@ -41,7 +41,7 @@
 
 /// What is recorded of one endpoint.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Maker {
+pub struct Producer {
     /// Calls running at the endpoint.
     pub running: u32,
     /// Bytes of this owner's results that the endpoint keeps or produces.
@@ -77,8 +77,8 @@
 
 /// What an owner records of all its endpoints.
 #[derive(Debug, Default)]
-pub struct Makers {
-    makers: HashMap<Name, Maker>,
+pub struct Producers {
+    producers: HashMap<Name, Producer>,
     /// Usage announced by other owners, by peer address.
     announced: HashMap<SocketAddr, AnnouncedUsage>,
     /// Cached median slowness of each pool, and when it was computed.
@@ -87,10 +87,10 @@
     changed: BTreeSet<Name>,
 }
 
-impl Makers {
+impl Producers {
     /// What is recorded of an endpoint.
-    pub fn get(&self, endpoint: &str) -> Maker {
-        self.makers.get(endpoint).copied().unwrap_or_default()
+    pub fn get(&self, endpoint: &str) -> Producer {
+        self.producers.get(endpoint).copied().unwrap_or_default()
     }
 
     /// Marks an endpoint as changed.
@@ -108,37 +108,37 @@
         let is_expiring = |at: Timestamp| now < at + RESULT_EXPIRY;
         let removed = self.announced.values().filter(|t| t.usage.contains_key(endpoint));
         removed.filter_map(|t| t.removed_at).any(is_expiring)
-            || self.makers.get(endpoint).is_some_and(|maker| {
-                maker.blocked_until > now
-                    || maker.avoided_until > now
-                    || maker.unattributed.is_some_and(|(_, at)| is_expiring(at))
+            || self.producers.get(endpoint).is_some_and(|producer| {
+                producer.blocked_until > now
+                    || producer.avoided_until > now
+                    || producer.unattributed.is_some_and(|(_, at)| is_expiring(at))
             })
     }
 
-    fn entry(&mut self, endpoint: &Name) -> &mut Maker {
+    fn entry(&mut self, endpoint: &Name) -> &mut Producer {
         if !self.changed.contains(endpoint) {
             self.changed.insert(endpoint.clone());
         }
-        self.makers.entry(endpoint.clone()).or_default()
+        self.producers.entry(endpoint.clone()).or_default()
     }
 
     /// Records that a call was sent whose results need `bytes`.
     pub fn sent(&mut self, endpoint: &Name, bytes: u64) {
-        let maker = self.entry(endpoint);
-        maker.running += 1;
-        maker.used += bytes;
+        let producer = self.entry(endpoint);
+        producer.running += 1;
+        producer.used += bytes;
     }
 
     /// Records that a call ended.
     pub fn ended(&mut self, endpoint: &Name) {
-        let maker = self.entry(endpoint);
-        maker.running = maker.running.saturating_sub(1);
+        let producer = self.entry(endpoint);
+        producer.running = producer.running.saturating_sub(1);
     }
 
     /// Records that results of `bytes` were freed.
     pub fn freed(&mut self, endpoint: &Name, bytes: u64) {
-        let maker = self.entry(endpoint);
-        maker.used = maker.used.saturating_sub(bytes);
+        let producer = self.entry(endpoint);
+        producer.used = producer.used.saturating_sub(bytes);
     }
 
     /// Records that results of `bytes` were taken over from another owner.
@@ -148,11 +148,11 @@
 
     /// Records that a call succeeded, and took `ratio` times its expected duration.
     pub fn succeeded(&mut self, endpoint: &Name, ratio: f64) {
-        let maker = self.entry(endpoint);
-        maker.failures = 0;
-        maker.avoided_until = Timestamp::ZERO;
-        let before = maker.slowness.unwrap_or(ratio);
-        maker.slowness = Some(before + (ratio - before) * NEW_SAMPLE_WEIGHT);
+        let producer = self.entry(endpoint);
+        producer.failures = 0;
+        producer.avoided_until = Timestamp::ZERO;
+        let before = producer.slowness.unwrap_or(ratio);
+        producer.slowness = Some(before + (ratio - before) * NEW_SAMPLE_WEIGHT);
     }
 
     /// Records that an endpoint is full.
@@ -162,23 +162,23 @@
 
     /// Records that an endpoint had no memory for a result though `left` bytes were expected to be
     /// free: they are used by an unknown owner.
-    pub fn no_room(&mut self, endpoint: &Name, left: u64, now: Timestamp) {
-        let maker = self.entry(endpoint);
-        maker.blocked_until = now + NO_MEMORY_PAUSE;
-        let before = maker.unattributed.map_or(0, |(bytes, at)| unexpired(bytes, at, now));
-        maker.unattributed = Some((before + left, now));
+    pub fn no_result_memory(&mut self, endpoint: &Name, expected_free: u64, now: Timestamp) {
+        let producer = self.entry(endpoint);
+        producer.blocked_until = now + NO_MEMORY_PAUSE;
+        let before = producer.unattributed.map_or(0, |(bytes, at)| unexpired(bytes, at, now));
+        producer.unattributed = Some((before + expected_free, now));
     }
 
     /// Records a report that `free` of `room` bytes are free at an endpoint; what this owner does
     /// not use of the rest is used by others.
-    pub fn reported(&mut self, endpoint: &Name, room: u64, free: u64, now: Timestamp) {
-        let maker = self.entry(endpoint);
-        let others = room.saturating_sub(free).saturating_sub(maker.used);
-        maker.unattributed = (others > 0).then_some((others, now));
+    pub fn reported(&mut self, endpoint: &Name, capacity: u64, free: u64, now: Timestamp) {
+        let producer = self.entry(endpoint);
+        let others = capacity.saturating_sub(free).saturating_sub(producer.used);
+        producer.unattributed = (others > 0).then_some((others, now));
     }
 
     /// Replaces the usage announced by another owner.
-    pub fn told(&mut self, owner: SocketAddr, usage: Vec<Usage>) {
+    pub fn usage_announced(&mut self, owner: SocketAddr, usage: Vec<Usage>) {
         if let Some(before) = self.announced.remove(&owner) {
             self.changed.extend(before.usage.into_keys());
         }
@@ -196,7 +196,7 @@
     }
 
     /// Records that another owner was removed: its results are freed by no one, and expire.
-    pub fn owner_lost(&mut self, owner: SocketAddr, now: Timestamp) {
+    pub fn owner_removed(&mut self, owner: SocketAddr, now: Timestamp) {
         if let Some(announced) = self.announced.get_mut(&owner) {
             announced.removed_at.get_or_insert(now);
             self.changed.extend(announced.usage.keys().cloned());
@@ -205,21 +205,22 @@
 
     /// Usage of this owner, to be announced to others.
     pub fn usage(&self) -> Vec<Usage> {
-        let used = self.makers.iter().filter(|(_, m)| m.used > 0);
+        let used = self.producers.iter().filter(|(_, m)| m.used > 0);
         used.map(|(endpoint, m)| Usage { endpoint: endpoint.clone(), bytes: m.used }).collect()
     }
 
     /// Free result memory in bytes at an endpoint with `room` bytes in all.
-    pub fn left(&self, endpoint: &str, room: u64, now: Timestamp) -> u64 {
-        let used = self.makers.get(endpoint).map_or(0, |m| m.used);
-        room.saturating_sub(self.of_others(endpoint, now) + used)
+    pub fn free_bytes(&self, endpoint: &str, capacity: u64, now: Timestamp) -> u64 {
+        let used = self.producers.get(endpoint).map_or(0, |m| m.used);
+        capacity.saturating_sub(self.used_by_others(endpoint, now) + used)
     }
 
     /// Bytes of result memory that other owners use at an endpoint.
-    pub fn of_others(&self, endpoint: &str, now: Timestamp) -> u64 {
-        let maker = self.makers.get(endpoint);
-        let unattributed =
-            maker.and_then(|m| m.unattributed).map_or(0, |(bytes, at)| unexpired(bytes, at, now));
+    pub fn used_by_others(&self, endpoint: &str, now: Timestamp) -> u64 {
+        let producer = self.producers.get(endpoint);
+        let unattributed = producer
+            .and_then(|m| m.unattributed)
+            .map_or(0, |(bytes, at)| unexpired(bytes, at, now));
         let from_announcements = self.announced.values().filter_map(|t| {
             let bytes = *t.usage.get(endpoint)?;
             Some(t.removed_at.map_or(bytes, |removed| unexpired(bytes, removed, now)))
@@ -229,10 +230,10 @@
 
     /// Records a failure; the endpoint is avoided for a while.
     pub fn failed(&mut self, endpoint: &Name, now: Timestamp) {
-        let maker = self.entry(endpoint);
-        let pause = FIRST_AVOIDANCE * 2u32.saturating_pow(maker.failures.min(6));
-        maker.avoided_until = now + pause.min(LONGEST_AVOIDANCE);
-        maker.failures += 1;
+        let producer = self.entry(endpoint);
+        let pause = FIRST_AVOIDANCE * 2u32.saturating_pow(producer.failures.min(6));
+        producer.avoided_until = now + pause.min(LONGEST_AVOIDANCE);
+        producer.failures += 1;
     }
 
     /// Avoids an endpoint that is far slower than the others of its pool; returns whether it does.
@@ -268,7 +269,7 @@
     fn median_slowness(&self, pool: &[Arc<Endpoint>], endpoint: &Name) -> Option<f64> {
         let others = pool.iter().filter(|e| e.id != *endpoint);
         let mut others: Vec<f64> =
-            others.filter_map(|e| self.makers.get(&e.id)?.slowness).collect();
+            others.filter_map(|e| self.producers.get(&e.id)?.slowness).collect();
         others.sort_by(f64::total_cmp);
         others.get(others.len() / 2).copied()
     }
@@ -285,7 +286,7 @@
     /// Forgets an endpoint that has a new incarnation, including the results that it kept for any
     /// owner.
     pub fn restarted(&mut self, endpoint: &Name) {
-        self.makers.remove(endpoint);
+        self.producers.remove(endpoint);
         for announced in self.announced.values_mut() {
             announced.usage.remove(endpoint);
         }
@@ -294,6 +295,6 @@
 
     /// Forgets endpoints that are no longer listed and run no calls.
     pub fn retain(&mut self, listed: impl Fn(&str) -> bool) {
-        self.makers.retain(|id, m| listed(id) || m.running > 0);
+        self.producers.retain(|id, m| listed(id) || m.running > 0);
     }
 }
--- a/src/direct/owner/restarts.rs
+++ b/src/direct/owner/restarts.rs
@@ -14,7 +14,7 @@
 impl Scheduler {
     /// Handles a new incarnation of an endpoint.
     pub fn restarted(&mut self, endpoint: &Name, table: &Table, now: Timestamp) {
-        self.makers.restarted(endpoint);
+        self.producers.restarted(endpoint);
         self.end_lost_calls(endpoint, table, now);
         for (job, stage) in self.drop_lost_results(endpoint) {
             self.rerun(job, stage, table, now);
@@ -64,7 +64,7 @@
         let Some(run) = self.job_mut(id).filter(|run| !run.ready) else {
             return;
         };
-        run.stages[stage].told = false;
+        run.stages[stage].reported = false;
         let lacks_inputs = run.lacks_inputs(stage);
         let pool = run.job.stages[stage].pool.clone();
         if !self.take_repeat(&pool, table, now) {
@@ -79,10 +79,10 @@
 
 /// Drops the results of a stage that an endpoint kept; returns whether there were any.
 fn drop_results(run: &mut JobRun, stage: usize, endpoint: &Name) -> bool {
-    let gone = if run.ready { Piece::Used } else { Piece::Waiting { attempts: 1 } };
+    let gone = if run.ready { Piece::Freed } else { Piece::Waiting { attempts: 1 } };
     let mut had = false;
     for piece in &mut run.stages[stage].pieces {
-        if matches!(piece, Piece::Made(made) if made.endpoint == *endpoint) {
+        if matches!(piece, Piece::Produced(made) if made.endpoint == *endpoint) {
             *piece = gone.clone();
             had = true;
         }
--- a/src/direct/owner/scheduler.rs
+++ b/src/direct/owner/scheduler.rs
@@ -21,10 +21,10 @@
 use crate::direct::owner::entry::entry;
 use crate::direct::owner::jobs::{JobRun, Piece, expected_calls};
 use crate::direct::owner::ledger::{Entry, Ledger};
-use crate::direct::owner::makers::{Makers, Usage};
 use crate::direct::owner::outcomes::OWNERS_PER_CELL;
 use crate::direct::owner::permits::Permits;
 use crate::direct::owner::plan::PlanContext;
+use crate::direct::owner::producers::{Producers, Usage};
 use crate::direct::owner::timers::{Timer, Timers};
 use crate::direct::owner::timings::Timings;
 use crate::direct::peers::message::{Handle, JobId, JobReason, Made, PeerMessage};
@@ -49,7 +49,7 @@
     cell: Option<Name>,
     pub(super) jobs: BTreeMap<JobId, JobRun>,
     pub(super) calls: Calls,
-    pub(super) makers: Makers,
+    pub(super) producers: Producers,
     pub(super) cold: ColdEndpoints,
     /// Endpoints that asked for a pause.
     pub(super) backoffs: Arc<Backoffs>,
@@ -85,7 +85,7 @@
     /// Time when jobs began to arrive after an interval without any.
     pub(super) active_since: Timestamp,
     /// Number of jobs and waiting stages examined for decisions.
-    pub(super) looked_at: u64,
+    pub(super) examined: u64,
     pub(super) out: Vec<Action>,
 }
 
@@ -96,7 +96,7 @@
             cell: None,
             jobs: BTreeMap::new(),
             calls: Calls::default(),
-            makers: Makers::default(),
+            producers: Producers::default(),
             cold: ColdEndpoints::new(JobId::LOWEST.gateway),
             backoffs: Arc::new(Backoffs::new(JobId::LOWEST.gateway)),
             limits: Arc::default(),
@@ -119,7 +119,7 @@
             resumed_at: Timestamp::ZERO,
             last_submit: None,
             active_since: Timestamp::ZERO,
-            looked_at: 0,
+            examined: 0,
             out: Vec::new(),
         }
     }
@@ -141,7 +141,7 @@
     }
 
     /// Sets the event lag of this process, by which stages end later.
-    pub fn set_lateness(&mut self, event_lag: Duration) {
+    pub fn set_event_lag(&mut self, event_lag: Duration) {
         self.event_lag = event_lag;
     }
 
@@ -175,19 +175,19 @@
 
     /// Result memory that this owner uses at endpoints.
     pub fn usage(&self) -> Vec<Usage> {
-        self.makers.usage()
+        self.producers.usage()
     }
 
     /// Handles the usage announced by another owner; endpoints of other cells are ignored.
-    pub fn told_usage(&mut self, owner: SocketAddr, mut usage: Vec<Usage>, table: &Table) {
+    pub fn usage_announced(&mut self, owner: SocketAddr, mut usage: Vec<Usage>, table: &Table) {
         usage
             .retain(|u| table.endpoint(&u.endpoint).is_some_and(|e| self.calls_endpoint(e, table)));
-        self.makers.told(owner, usage);
+        self.producers.usage_announced(owner, usage);
     }
 
     /// Handles the removal of another owner.
-    pub fn owner_lost(&mut self, owner: SocketAddr, now: Timestamp) {
-        self.makers.owner_lost(owner, now);
+    pub fn owner_removed(&mut self, owner: SocketAddr, now: Timestamp) {
+        self.producers.owner_removed(owner, now);
     }
 
     /// Fills calls with waiting pieces, and takes the actions to perform.
@@ -234,11 +234,11 @@
             // already of a later one.
             return self.out.push(Action::Log(LogEvent::NoReport { endpoint: endpoint.clone() }));
         }
-        self.makers.reported(endpoint, spec.room_bytes, report.free_bytes, now);
+        self.producers.reported(endpoint, spec.room_bytes, report.free_bytes, now);
         self.out.push(Action::Log(LogEvent::ReportReceived {
             endpoint: endpoint.clone(),
             free_bytes: report.free_bytes,
-            of_others: self.makers.of_others(endpoint, now),
+            of_others: self.producers.used_by_others(endpoint, now),
             waiting: report.waiting,
         }));
     }
@@ -262,7 +262,7 @@
     }
 
     /// Notifies other gateways, before this process ends, that it no longer owns their jobs.
-    pub fn end_all(&mut self, own: SocketAddr) {
+    pub fn hand_back_jobs(&mut self, own: SocketAddr) {
         let others = self.jobs.keys().filter(|id| id.gateway != own).copied();
         for id in others.collect::<Vec<_>>() {
             self.send_given_up(id, JobReason::NotOwner, false, Duration::ZERO);
@@ -270,7 +270,7 @@
     }
 
     /// Releases all jobs of a gateway that was removed.
-    pub fn release_all_of(&mut self, gateway: SocketAddr, incarnation: u64, table: &Table) {
+    pub fn release_jobs_of(&mut self, gateway: SocketAddr, incarnation: u64, table: &Table) {
         let first = JobId { gateway, incarnation, number: 0 };
         let of_gateway = self.jobs.range(first..).map(|(id, _)| *id);
         let gone =
@@ -281,20 +281,20 @@
     }
 
     /// Handles changes of endpoints or of the configuration.
-    pub fn changed(&mut self, table: &Table) {
-        self.makers.retain(|id| table.endpoint(id).is_some());
+    pub fn table_changed(&mut self, table: &Table) {
+        self.producers.retain(|id| table.endpoint(id).is_some());
         self.permits.retain(|id| table.endpoint(id).is_some());
         self.dirty.extend(table.deployment.pools.iter().map(|p| p.name.clone()));
         self.is_listed = false;
     }
 
     /// Runs timers that are due.
-    pub fn look(&mut self, table: &Table, now: Timestamp) {
+    pub fn run_timers(&mut self, table: &Table, now: Timestamp) {
         if now < self.last_check + CHECK_INTERVAL {
             return;
         }
         self.last_check = now;
-        self.makers.expire(now);
+        self.producers.expire(now);
         while let Some(due) = self.timers.take(now) {
             match due {
                 Timer::Deadline(job) => self.cancel_job(job, JobReason::DeadlinePassed, table),
@@ -315,11 +315,12 @@
     /// owner may call the same endpoints, the call may still be queued there and is checked again
     /// later.
     fn inputs_fetched(&mut self, id: u64, table: &Table, now: Timestamp) {
-        let is_alone = now >= self.active_since + TAKEOVER_PERIOD && !self.makers.is_shared();
+        let is_only_caller =
+            now >= self.active_since + TAKEOVER_PERIOD && !self.producers.is_shared();
         let Some(call) = self.calls.get_mut(&id).filter(|call| !call.is_abandoned) else {
             return;
         };
-        if !is_alone {
+        if !is_only_caller {
             return self.timers.add(now + FETCHING, Timer::InputsFetched(id));
         }
         call.has_fetched = true;
@@ -341,7 +342,7 @@
         if !self.is_listed {
             self.list_endpoints(table, now);
         }
-        let mut changed = self.makers.take_changed();
+        let mut changed = self.producers.take_changed();
         if now >= self.changing_checked_at + CHECK_INTERVAL {
             self.changing_checked_at = now;
             changed.append(&mut self.changing);
@@ -386,7 +387,7 @@
             return self.ledger.pool(pool).endpoints.remove(id);
         }
         let is_limited = self.limits.rate(endpoint, now).is_some();
-        if is_limited || self.makers.changes_with_time(id, now) || self.cold.is_cold(id, now) {
+        if is_limited || self.producers.changes_with_time(id, now) || self.cold.is_cold(id, now) {
             self.changing.insert(id.clone());
         }
         let cold_start = table.pool(pool).and_then(|pool| pool.cold);
@@ -397,12 +398,12 @@
     }
 
     pub(super) fn state_of(&self, id: &Name, spec: &BatchSpec, now: Timestamp) -> EndpointState {
-        let maker = self.makers.get(id);
+        let producer = self.producers.get(id);
         EndpointState {
-            free_bytes: self.makers.left(id, spec.room_bytes, now),
-            of_others: self.makers.of_others(id, now).min(spec.room_bytes),
-            is_free: maker.running < spec.slots && maker.blocked_until <= now,
-            is_avoided: maker.avoided_until > now,
+            free_bytes: self.producers.free_bytes(id, spec.room_bytes, now),
+            used_by_others: self.producers.used_by_others(id, now).min(spec.room_bytes),
+            is_free: producer.running < spec.slots && producer.blocked_until <= now,
+            is_avoided: producer.avoided_until > now,
         }
     }
 
@@ -411,7 +412,7 @@
         let Some(run) = self.jobs.get_mut(&id) else {
             return;
         };
-        self.looked_at += 1;
+        self.examined += 1;
         let context = PlanContext { timings: &self.timings, calls: &self.calls, table, now };
         let after = entry(run, context);
         let before = std::mem::replace(&mut run.entry, after);
@@ -451,7 +452,7 @@
     }
 
     pub(super) fn free_result(&mut self, made: &Made, bytes: u64, table: &Table) {
-        self.makers.freed(&made.endpoint, bytes);
+        self.producers.freed(&made.endpoint, bytes);
         if let Some(endpoint) = table.endpoint(&made.endpoint) {
             let entry = self.to_free.entry(made.endpoint.clone());
             entry.or_insert_with(|| (endpoint.clone(), Vec::new())).1.push(made.handle.clone());
@@ -467,18 +468,18 @@
         let Some(run) = self.jobs.get_mut(&id) else {
             return;
         };
-        let mut told = Vec::new();
+        let mut finished = Vec::new();
         let mut used = Vec::new();
         for stage in 0..run.stages.len() {
             let is_done = run.stages[stage].is_done();
-            if is_done && !run.stages[stage].told {
-                run.stages[stage].told = true;
-                told.push((stage, run.stages[stage].results()));
+            if is_done && !run.stages[stage].reported {
+                run.stages[stage].reported = true;
+                finished.push((stage, run.stages[stage].results()));
             }
             if is_done && !run.is_last(stage) && !run.is_needed(stage, has_fetched) {
                 let bytes = run.job.stages[stage].result_bytes;
                 for piece in &mut run.stages[stage].pieces {
-                    if let Piece::Made(made) = std::mem::replace(piece, Piece::Used) {
+                    if let Piece::Produced(made) = std::mem::replace(piece, Piece::Freed) {
                         used.push((made, bytes));
                     }
                 }
@@ -486,7 +487,7 @@
         }
         let becomes_ready = run.is_done() && !run.ready;
         run.ready |= becomes_ready;
-        for (stage, results) in told {
+        for (stage, results) in finished {
             self.send_to_gateway(id, PeerMessage::StageDone { job: id, stage, results });
         }
         for (made, bytes) in used {
--- a/src/direct/peer_messages.rs
+++ b/src/direct/peer_messages.rs
@@ -54,7 +54,7 @@
                 self.evacuations_received(from, &evacuations, now);
                 self.departures_received(from, departures, now);
                 self.limits_received(from, &limits, now);
-                self.owners.told_usage(from, usage, &self.table);
+                self.owners.usage_announced(from, usage, &self.table);
                 self.requests.told_lateness(from, late, now);
                 let heard = self.members.hear(&members, now);
                 for member in heard.ended {
@@ -145,8 +145,8 @@
             self.log_build(address, life, &build, "last");
         }
         self.pulls.lost(address);
-        self.owners.release_all_of(address, incarnation, &self.table);
-        self.owners.owner_lost(address, now);
+        self.owners.release_jobs_of(address, incarnation, &self.table);
+        self.owners.owner_removed(address, now);
         self.requests.owner_lost(address, incarnation);
         self.limiter_down(address, now);
     }
--- a/src/direct/peers/message.rs
+++ b/src/direct/peers/message.rs
@@ -8,7 +8,7 @@
 
 use crate::direct::departures::Departure;
 use crate::direct::limits::known::LimitTold;
-use crate::direct::owner::makers::Usage;
+use crate::direct::owner::producers::Usage;
 use crate::direct::peers::members::Member;
 use crate::direct::poison::fingerprint::Fingerprint;
 use crate::direct::poison::suspects::Account;
--- a/src/direct/peers/without_eras.rs
+++ b/src/direct/peers/without_eras.rs
@@ -8,7 +8,7 @@
 
 use serde::Deserialize;
 
-use crate::direct::owner::makers::Usage;
+use crate::direct::owner::producers::Usage;
 use crate::direct::peers::members::Member;
 use crate::direct::peers::message::PeerMessage;
 use crate::direct::published::documents::{self, Document};
--- a/src/direct/publication.rs
+++ b/src/direct/publication.rs
@@ -249,7 +249,7 @@
             self.log(LogEvent::Cold { endpoint: endpoint.id.clone(), cold_ms });
         }
         self.requests.changed(&self.table, merged, &entered, now);
-        self.owners.changed(&self.table, merged, &entered, now);
+        self.owners.table_changed(&self.table, merged, &entered, now);
         self.check_entries_for_crashes(&merged.endpoints, now);
         if spread {
             self.next_heartbeat = Timestamp::ZERO;
@@ -327,9 +327,9 @@
         let returned: BTreeSet<Name> = &before - &standing;
         self.table.evacuate(standing, self.documents.endpoints());
         self.requests.changed(&self.table, &Merged::default(), &[], now);
-        self.owners.changed(&self.table, &Merged::default(), &[], now);
+        self.owners.table_changed(&self.table, &Merged::default(), &[], now);
         self.requests.return_of(&returned, &self.table, now);
-        self.owners.return_of(&returned, &self.table, now);
+        self.owners.data_centres_returned(&returned, &self.table, now);
         true
     }
 
--- a/src/direct/rate_limits.rs
+++ b/src/direct/rate_limits.rs
@@ -236,7 +236,7 @@
                 self.requests.permit_given(caller, number, until, &self.table, now);
             }
             Purpose::Pieces | Purpose::Free => {
-                self.owners.permit_given(&endpoint, purpose, until, &self.table);
+                self.owners.permit_granted(&endpoint, purpose, until, &self.table);
             }
         }
     }
--- a/testbed/src/frames.rs
+++ b/testbed/src/frames.rs
@@ -14,7 +14,7 @@
 use stackmast::config::Selector;
 use stackmast::direct::departures::Departure;
 use stackmast::direct::limits::known::LimitTold;
-use stackmast::direct::owner::makers::Usage;
+use stackmast::direct::owner::producers::Usage;
 use stackmast::direct::peers::codec::{FORM, Outgoing};
 use stackmast::direct::peers::members::{Member, MemberState};
 use stackmast::direct::peers::message::{Job, JobId, JobReason, JobStage, Made, PeerMessage};
--- a/testbed/src/owner_load.rs
+++ b/testbed/src/owner_load.rs
@@ -196,7 +196,7 @@
             self.act(actions, now);
             self.cost.held = self.cost.held.max(self.scheduler.jobs());
         }
-        self.cost.looked_at = self.scheduler.looked_at();
+        self.cost.looked_at = self.scheduler.examined();
         self.cost
     }
 
@@ -220,7 +220,7 @@
                 self.scheduler.batch_ended(call, outcome, &self.table, now);
             }
             Happening::Release(job) => self.scheduler.release(job, &self.table),
-            Happening::Look => self.scheduler.look(&self.table, now),
+            Happening::Look => self.scheduler.run_timers(&self.table, now),
         }
         self.cost.rest += begun.elapsed();
         let is_over = now > self.shape.lasts && self.scheduler.is_idle();
--- a/tests/direct_members.rs
+++ b/tests/direct_members.rs
@@ -8,7 +8,7 @@
 use directenv::{address, deployment, endpoint, ms, position};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use stackmast::direct::owner::makers::{Makers, Usage};
+use stackmast::direct::owner::producers::{Producers, Usage};
 use stackmast::direct::peers::members::{Heard, Member, MemberState, Members};
 use stackmast::direct::published::documents::{Document, Documents, EntryState, Revised, Seen};
 use stackmast::direct::repeats::{Bounds, Repeats};
@@ -296,24 +296,24 @@
 
 #[test]
 fn what_a_lost_owner_kept_runs_out() {
-    let mut makers = Makers::default();
+    let mut makers = Producers::default();
     let usage = vec![Usage { endpoint: "m".into(), bytes: 800 }];
-    makers.told(address(2), usage);
-    assert_eq!(makers.left("m", 1_000, ms(0)), 200);
-    makers.owner_lost(address(2), ms(0));
-    assert_eq!(makers.left("m", 1_000, ms(2_500)), 600);
-    assert_eq!(makers.left("m", 1_000, ms(6_000)), 1_000);
-    makers.told(address(2), Vec::new());
-    assert_eq!(makers.left("m", 1_000, ms(0)), 1_000);
+    makers.usage_announced(address(2), usage);
+    assert_eq!(makers.free_bytes("m", 1_000, ms(0)), 200);
+    makers.owner_removed(address(2), ms(0));
+    assert_eq!(makers.free_bytes("m", 1_000, ms(2_500)), 600);
+    assert_eq!(makers.free_bytes("m", 1_000, ms(6_000)), 1_000);
+    makers.usage_announced(address(2), Vec::new());
+    assert_eq!(makers.free_bytes("m", 1_000, ms(0)), 1_000);
 }
 
 #[test]
 fn an_endpoint_without_room_is_taken_at_its_word() {
-    let mut makers = Makers::default();
-    assert_eq!(makers.left("m", 1_000, ms(0)), 1_000);
-    makers.no_room(&"m".into(), 1_000, ms(0));
-    assert_eq!(makers.left("m", 1_000, ms(0)), 0);
-    assert!(makers.left("m", 1_000, ms(2_500)) >= 400, "what others keep runs out");
+    let mut makers = Producers::default();
+    assert_eq!(makers.free_bytes("m", 1_000, ms(0)), 1_000);
+    makers.no_result_memory(&"m".into(), 1_000, ms(0));
+    assert_eq!(makers.free_bytes("m", 1_000, ms(0)), 0);
+    assert!(makers.free_bytes("m", 1_000, ms(2_500)) >= 400, "what others keep runs out");
 }
 
 #[test_case(&["id: 1\ndata: a\n\nid: 2\nda", "ta: b\n\n"], &["id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"], Some("2"); "cut within an event")]
--- a/tests/direct_restarts.rs
+++ b/tests/direct_restarts.rs
@@ -155,7 +155,7 @@
     scheduler.submit(job(1, &route, 3), &table, ms(0));
     let (call, to, _) = batches(&scheduler.actions(&table, ms(0)))[0].clone();
     restarted(&mut table, &to);
-    scheduler.changed(&table);
+    scheduler.table_changed(&table);
     scheduler.restarted(&to.as_str().into(), &table, ms(50));
     let again = batches(&scheduler.actions(&table, ms(50)));
     assert_eq!(again.len(), 1, "the same three pieces: {again:?}");
@@ -176,7 +176,7 @@
     scheduler.batch_ended(first, made(first, 2), &table, ms(250));
     scheduler.actions(&table, ms(250));
     restarted(&mut table, &maker);
-    scheduler.changed(&table);
+    scheduler.table_changed(&table);
     scheduler.restarted(&maker.as_str().into(), &table, ms(260));
     let again = batches(&scheduler.actions(&table, ms(260)));
     assert_eq!(again.iter().map(|c| c.2.clone()).collect::<Vec<_>>(), [vec![0, 0]]);
--- a/tests/direct_scheduler.rs
+++ b/tests/direct_scheduler.rs
@@ -8,7 +8,7 @@
 use directenv::{address, batch, deployment, endpoint, endpoints, job, job_id, ms, route, table};
 use stackmast::direct::answers::{BatchOutcome, BatchReport, CallFailure, PieceOutcome};
 use stackmast::direct::event::{Action, PieceParams};
-use stackmast::direct::owner::makers::Usage;
+use stackmast::direct::owner::producers::Usage;
 use stackmast::direct::owner::scheduler::Scheduler;
 use stackmast::direct::peers::message::{Job, JobReason, PeerMessage};
 use stackmast::direct::published::model::{Pool, Repeat, Route};
@@ -192,7 +192,7 @@
     let mut scheduler = scheduler();
     scheduler.submit(job(1, &route, 1), &table, ms(0));
     let first = calls(&scheduler.actions(&table, ms(0)));
-    scheduler.look(&table, ms(1_500));
+    scheduler.run_timers(&table, ms(1_500));
     let second = calls(&scheduler.actions(&table, ms(1_500)));
     assert_eq!(second.len(), 1, "made again");
     assert_ne!(second[0].1, first[0].1);
@@ -221,7 +221,7 @@
     scheduler.batch_ended(first[0].0, made(first[0].0, 2), table, now);
     let second = calls(&scheduler.actions(table, now));
     assert_eq!(second[0].2[0].stage, 1);
-    scheduler.look(table, now + ms(30));
+    scheduler.run_timers(table, now + ms(30));
     assert!(freed(&scheduler.actions(table, now + ms(30))).is_empty(), "may not be fetched yet");
     (second[0].0, now + ms(110))
 }
@@ -232,7 +232,7 @@
     let table = table(vec![route.clone()]);
     let mut scheduler = scheduler();
     let (call, now) = owner_with_fetched_inputs(&mut scheduler, &table, job(1, &route, 2));
-    scheduler.look(&table, now);
+    scheduler.run_timers(&table, now);
     assert_eq!(freed(&scheduler.actions(&table, now)).len(), 2, "while the call is at work");
     scheduler.batch_ended(call, made(call, 2), &table, now + ms(200));
     let actions = scheduler.actions(&table, now + ms(200));
@@ -246,7 +246,7 @@
     let table = table(vec![route.clone()]);
     let mut scheduler = scheduler();
     let (call, now) = owner_with_fetched_inputs(&mut scheduler, &table, job(1, &route, 2));
-    scheduler.look(&table, now);
+    scheduler.run_timers(&table, now);
     scheduler.actions(&table, now);
     scheduler.batch_ended(call, BatchOutcome::Failed(CallFailure::Broken), &table, now + ms(50));
     let again = run_to_the_end(&mut scheduler, &table, now + ms(50));
@@ -261,9 +261,9 @@
     let table = table(vec![route.clone()]);
     let mut scheduler = scheduler();
     let usage = vec![Usage { endpoint: "second-1".into(), bytes: 10 }];
-    scheduler.told_usage(address(7), usage, &table);
+    scheduler.usage_announced(address(7), usage, &table);
     let (_, now) = owner_with_fetched_inputs(&mut scheduler, &table, job(1, &route, 2));
-    scheduler.look(&table, now);
+    scheduler.run_timers(&table, now);
     assert!(freed(&scheduler.actions(&table, now)).is_empty(), "its call may wait for its turn");
 }
 
@@ -310,7 +310,7 @@
     scheduler.submit(job(1, &route, 2), &table, ms(0));
     let first = calls(&scheduler.actions(&table, ms(0)));
     scheduler.batch_ended(first[0].0, made(first[0].0, 2), &table, ms(260));
-    scheduler.release_all_of(address(1), 1, &table);
+    scheduler.release_jobs_of(address(1), 1, &table);
     let actions = scheduler.actions(&table, ms(260));
     assert_eq!(freed(&actions).len(), 2);
     assert!(calls(&actions).is_empty(), "nothing more is begun for it");
--- a/tests/directenv/recount.rs
+++ b/tests/directenv/recount.rs
@@ -84,7 +84,7 @@
             self.compare(&kept, owner, &pool.name, &waiting, table, now);
             let batch = next_batch(&kept, spec, waiting, table);
             let named = batch.into_iter().map(|(id, stage, piece)| {
-                let run = owner.held().find(|(held, _)| **held == id);
+                let run = owner.active_jobs().find(|(held, _)| **held == id);
                 (run.map(|(_, r)| r.job.request.clone()).unwrap_or_default(), stage, piece)
             });
             self.next.insert(pool.name.clone(), named.collect());
@@ -135,16 +135,16 @@
         self.compared.states += 1;
         let (mut waits, mut open) = (0, 0);
         let mut open_at: BTreeMap<Name, usize> = BTreeMap::new();
-        for (_, run) in owner.held() {
+        for (_, run) in owner.active_jobs() {
             for (index, (spec, stage)) in run.job.stages.iter().zip(&run.stages).enumerate() {
                 if *spec.pool != *pool {
                     continue;
                 }
                 waits += stage.waiting();
-                open += stage.open();
-                let home = run.inner_home.clone().filter(|_| run.is_heavy(index));
-                if let Some(home) = home.filter(|_| stage.open() > 0) {
-                    *open_at.entry(home).or_default() += stage.open();
+                open += stage.unfinished();
+                let home = run.heavy_data_centre.clone().filter(|_| run.is_heavy(index));
+                if let Some(home) = home.filter(|_| stage.unfinished() > 0) {
+                    *open_at.entry(home).or_default() += stage.unfinished();
                 }
             }
         }
@@ -154,15 +154,15 @@
         queued.dedup();
         let kept_queue: Vec<_> = kept.queued.iter().map(|r| (r.job, r.stage)).collect();
         let is_prompt = |job: &JobId, stage: usize| {
-            let run = owner.held().find(|(id, _)| *id == job);
-            run.is_none_or(|(_, run)| !run.stands_alone(stage))
+            let run = owner.active_jobs().find(|(id, _)| *id == job);
+            run.is_none_or(|(_, run)| !run.is_independent(stage))
         };
         queued
             .retain(|(job, stage)| is_prompt(job, *stage) || kept_queue.contains(&(*job, *stage)));
         let free: Vec<&Name> = kept.free.keys().collect();
         let listed = free.iter().all(|id| table.members(pool).iter().any(|e| e.id == **id));
         let same = (kept.waiting, kept.waiting + kept.running) == (waits, open)
-            && kept.open_at == open_at
+            && kept.unfinished_in == open_at
             && kept_queue == queued
             && listed;
         if !same {
@@ -182,14 +182,14 @@
 
 fn waiting(owner: &Scheduler, pool: &str, now: Duration) -> Vec<Waits> {
     let mut waiting = Vec::new();
-    for (id, run) in owner.held() {
+    for (id, run) in owner.active_jobs() {
         for (stage, spec) in run.job.stages.iter().enumerate() {
-            if *spec.pool != *pool || !run.is_open(stage) || is_held_back(run, stage, now) {
+            if *spec.pool != *pool || !run.is_runnable(stage) || is_held_back(run, stage, now) {
                 continue;
             }
-            let rest = run.from_stage(stage) + run.job.after;
+            let rest = run.critical_path_from(stage) + run.job.after;
             let slack_ms = ms(run.objective) as i64 - ms(rest) as i64 - ms(now) as i64;
-            let home = run.home(stage).filter(|_| run.moved_bytes(stage) >= HEAVY);
+            let home = run.preferred_data_centre(stage).filter(|_| run.moved_bytes(stage) >= HEAVY);
             let pieces = run.stages[stage].pieces.iter().enumerate();
             let open = pieces.filter(|(_, p)| matches!(p, Piece::Waiting { .. }));
             waiting.extend(open.map(|(piece, _)| Waits {
@@ -205,7 +205,8 @@
 }
 
 fn is_held_back(run: &JobRun, stage: usize, now: Duration) -> bool {
-    run.stands_alone(stage) && run.remaining(Some(stage), now) > run.calls[stage] + HOLD_SLACK
+    run.is_independent(stage)
+        && run.remaining_time(Some(stage), now) > run.calls[stage] + HOLD_SLACK
 }
 
 /// The first call: the endpoint for the most urgent piece that fits anywhere, and what goes with it.
@@ -267,14 +268,14 @@
     let call = spec.call + spec.piece * stage.pieces.min(spec.pieces) as u32;
     let mut pieces = 0.0;
     let mut taken = Timeline::default();
-    for (_, run) in owner.held() {
-        let fillings = owner.planned(run, table, now);
+    for (_, run) in owner.active_jobs() {
+        let fillings = owner.planned_occupancy(run, table, now);
         for ((spec, state), filling) in run.job.stages.iter().zip(&run.stages).zip(fillings) {
             if spec.pool != stage.pool {
                 continue;
             }
             let waiting = state.waiting() as f64;
-            pieces += (state.open() as f64 - waiting).mul_add(RUNNING_REST, waiting);
+            pieces += (state.unfinished() as f64 - waiting).mul_add(RUNNING_REST, waiting);
             if let Some(filling) = filling {
                 taken.add(filling.from, filling.until, filling.bytes as f64);
             }
@@ -287,7 +288,7 @@
         slots: endpoints,
         backlog: full_call.mul_f64(BEFORE_NEWCOMER).mul_f64(pieces),
         call,
-        room: endpoints * spec.room_bytes as f64 - kept.of_others as f64,
+        room: endpoints * spec.room_bytes as f64 - kept.used_by_others as f64,
         taken: Arc::new(taken),
         wanted: (stage.pieces as u64 * stage.result_bytes) as f64,
     }
