--- a/src/direct/owner/batching.rs
+++ b/src/direct/owner/batching.rs
@@ -39,6 +39,7 @@
 #[derive(Debug)]
 struct Selected {
     rank: Rank,
+    /// Number of waiting pieces of the stage before these.
     skip: usize,
     pieces: usize,
 }
@@ -65,6 +66,7 @@
         }
     }
 
+    /// Ids of the selected pieces.
     fn pieces(&self, taken: &Selected) -> Vec<PieceId> {
         let Rank { job, stage, .. } = taken.rank;
         let Some(run) = self.jobs.get(&job) else {
@@ -76,6 +78,7 @@
         taken.map(|(piece, _)| (job, stage, piece)).collect()
     }
 
+    /// Sends pieces to an endpoint in one call, and records the call.
     fn send_call(
         &mut self,
         pool: &Name,
@@ -89,7 +92,7 @@
         let mut pieces = Vec::with_capacity(batch.len());
         let mut orders = Vec::with_capacity(batch.len());
         let mut waited = Vec::new();
-        let mut firsts = 0;
+        let mut first_attempts = 0;
         let mut total = 0;
         for (id, stage, piece) in batch {
             let Some(run) = self.job_mut(id) else {
@@ -105,7 +108,7 @@
             orders.push(order);
             let slot = &mut run.stages[stage].pieces[piece];
             let attempts = if let Piece::Waiting { attempts } = *slot { attempts } else { 0 };
-            firsts += u32::from(attempts == 0);
+            first_attempts += u32::from(attempts == 0);
             *slot = Piece::Running { call, attempts };
             if run.stages[stage].started.is_none() {
                 run.stages[stage].started = Some(now);
@@ -117,7 +120,7 @@
         for waited in waited {
             self.timings.record_wait(pool, spec, waited);
         }
-        self.repeats.first(pool, firsts, now);
+        self.repeats.first(pool, first_attempts, now);
         self.producers.sent(&endpoint.id, total);
         self.cold.sent(&endpoint, pieces.len(), now);
         let expected = spec.call + spec.piece * orders.len() as u32;
@@ -172,8 +175,8 @@
         |preferred| pool.endpoints.count_in(preferred) * spec.pieces,
         |preferred| pool.endpoints.is_free_in(preferred),
     );
-    let place = |(index, c)| Some((index, choose_endpoint(c, &pool.endpoints)?));
-    let (first, (free_bytes, endpoint)) = candidates.iter().enumerate().find_map(place)?;
+    let endpoint_for = |(index, c)| Some((index, choose_endpoint(c, &pool.endpoints)?));
+    let (first, (free_bytes, endpoint)) = candidates.iter().enumerate().find_map(endpoint_for)?;
     let taken = select_pieces(&candidates[first..], endpoint, spec.pieces, free_bytes, is_isolated);
     Some((endpoint.clone(), taken, candidates.len()))
 }
@@ -195,8 +198,8 @@
     at_preferred.or_else(|| endpoints.most_free_in_regions(&piece.allowed_regions, piece.bytes))
 }
 
-/// Selects the pieces of a call to endpoint `to`, which holds at most `most` pieces and has `room`
-/// bytes of result memory left.
+/// Selects at most `max_pieces` pieces for a call to endpoint `to`, which has `free_bytes` of
+/// result memory left.
 ///
 /// Pieces of a stage that don't fit together into a call that others have begun to fill wait for
 /// the next call: spread over two calls, the first results would occupy memory for a whole call
@@ -218,12 +221,12 @@
     let mut isolated = None;
     for candidate in candidates {
         let rank = candidate.rank;
-        let shares = match (isolated, taken.is_empty()) {
+        let may_join = match (isolated, taken.is_empty()) {
             (Some(isolated), _) => isolated == rank,
             (None, true) => true,
             (None, false) => !is_isolated(rank),
         };
-        if !shares {
+        if !may_join {
             continue;
         }
         let is_preferred =
@@ -249,6 +252,7 @@
     taken
 }
 
+/// What an endpoint needs to run a piece.
 fn piece_order(run: &JobRun, stage: usize, piece: usize, now: Timestamp) -> PieceParams {
     let spec = &run.job.stages[stage];
     let inputs = spec.after.iter().flat_map(|&a| run.stages[a].results());
--- a/src/direct/owner/bookings.rs
+++ b/src/direct/owner/bookings.rs
@@ -34,8 +34,9 @@
 /// All bookings of one pool, stored as changes between steps.
 #[derive(Debug, Default)]
 pub(super) struct Bookings {
-    /// Bytes in use at step `at`.
+    /// Bytes in use at step `at` of the timeline.
     level: i64,
+    /// Step up to which changes are included in `level`.
     at: u64,
     /// Change of the level at each later step, in bytes.
     changes: BTreeMap<u64, i64>,
--- a/src/direct/owner/calls.rs
+++ b/src/direct/owner/calls.rs
@@ -22,7 +22,9 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CallStage {
     pub(super) job: JobId,
+    /// Index of the stage in the job.
     pub(super) stage: usize,
+    /// The run as reported to the detection of poison requests.
     pub(super) run: Run,
 }
 
@@ -36,6 +38,7 @@
     /// Stages that the pieces belong to, each listed once.
     pub(super) stages: Vec<CallStage>,
     pub(super) sent: Timestamp,
+    /// Expected duration.
     pub(super) expected: Duration,
     /// Whether the call is overdue and its pieces were requeued.
     pub(super) is_abandoned: bool,
--- a/src/direct/owner/entry.rs
+++ b/src/direct/owner/entry.rs
@@ -44,8 +44,8 @@
 
 /// Time until a stage should have started, or until its results should have been fetched.
 fn next_plan_step(run: &JobRun, stage: usize, occupancy: Occupancy) -> Duration {
-    let is_begun = run.stages[stage].started.is_some() || occupancy.from.is_zero();
-    let ends = if is_begun { occupancy.until } else { occupancy.from };
+    let has_started = run.stages[stage].started.is_some() || occupancy.from.is_zero();
+    let ends = if has_started { occupancy.until } else { occupancy.from };
     ends.max(STEP)
 }
 
--- a/src/direct/owner/inspect.rs
+++ b/src/direct/owner/inspect.rs
@@ -51,11 +51,12 @@
     pub fn pool_state(&mut self, pool: &str, table: &Table, now: Timestamp) -> Option<PoolState> {
         self.update_ledger(table, now);
         let pool = self.ledger.get_mut(pool)?;
-        let homes = table.deployment.pools.iter().flat_map(|p| table.members(&p.name));
-        let homes = homes.map(|e| (e.data_centre.clone(), pool.unfinished_in(&e.data_centre)));
+        let by_data_centre = table.deployment.pools.iter().flat_map(|p| table.members(&p.name));
+        let by_data_centre =
+            by_data_centre.map(|e| (e.data_centre.clone(), pool.unfinished_in(&e.data_centre)));
         let data_centres = pool.endpoints.data_centres();
         let usable = data_centres.map(|dc| (dc.clone(), pool.endpoints.count_in(dc)));
-        let unfinished_in = homes.filter(|(_, open)| *open > 0).collect();
+        let unfinished_in = by_data_centre.filter(|(_, unfinished)| *unfinished > 0).collect();
         Some(PoolState {
             waiting: pool.waiting,
             running: pool.running,
--- a/src/direct/owner/jobs.rs
+++ b/src/direct/owner/jobs.rs
@@ -9,8 +9,8 @@
 use crate::direct::published::table::Table;
 use crate::message::Timestamp;
 
-/// Bytes from which on avoiding a transfer between data centres is worth a wait for an endpoint in
-/// the preferred one.
+/// Minimum size of a transfer between data centres, in bytes, for which a piece waits for an
+/// endpoint in its preferred data centre.
 pub(super) const HEAVY_BYTES: u64 = 100_000;
 
 /// State of one piece of a stage.
@@ -189,8 +189,8 @@
         }
     }
 
-    /// Bytes transferred between data centres if one piece of a stage runs outside the preferred
-    /// one.
+    /// Bytes transferred between data centres if one piece of a stage runs outside its preferred
+    /// data centre.
     pub fn moved_bytes(&self, stage: usize) -> u64 {
         let stages = &self.job.stages;
         let inputs =
--- a/src/direct/owner/outcomes.rs
+++ b/src/direct/owner/outcomes.rs
@@ -68,12 +68,14 @@
         }
     }
 
+    /// Records a failure of an endpoint, which is avoided for a while.
     pub(super) fn avoid(&mut self, endpoint: &Name, cause: &'static str, now: Timestamp) {
         self.producers.failed(endpoint, now);
         let endpoint = endpoint.clone();
         self.out.push(Action::Log(LogEvent::Suspicion { endpoint, avoided: true, cause }));
     }
 
+    /// Records the duration of a call, and avoids its endpoint if that is slow.
     pub(super) fn check_speed(
         &mut self,
         call: &Call,
@@ -95,6 +97,7 @@
         }
     }
 
+    /// Handles the outcome of each piece of a call; pieces without one have failed.
     pub(super) fn handle_pieces(
         &mut self,
         call: &Call,
@@ -140,6 +143,7 @@
         }
     }
 
+    /// Records the result of a piece, or frees it if it is not needed.
     pub(super) fn piece_produced(
         &mut self,
         (job, stage, piece): PieceId,
@@ -157,6 +161,7 @@
         }
     }
 
+    /// Whether a piece runs in the given call.
     pub(super) fn is_running(&self, (job, stage, piece): PieceId, call: u64) -> bool {
         let run = self.jobs.get(&job);
         let piece = run.map(|r| &r.stages[stage].pieces[piece]);
@@ -232,7 +237,7 @@
             }
         }
         let mut freed = Vec::new();
-        let mut again = Vec::new();
+        let mut pools = Vec::new();
         for index in run.stages_to_rerun(stage) {
             let spec = &run.job.stages[index];
             for piece in &mut run.stages[index].pieces {
@@ -240,19 +245,20 @@
                     freed.push((made.clone(), spec.result_bytes));
                 }
                 *piece = Piece::Waiting { attempts: MAX_ATTEMPTS - 1 };
-                again.push(spec.pool.clone());
+                pools.push(spec.pool.clone());
             }
             run.stages[index].reported = false;
         }
         for (made, bytes) in freed {
             self.free_result(&made, bytes, table);
         }
-        self.dirty.extend(again.iter().cloned());
-        if !again.iter().all(|pool| self.take_repeat(pool, table, now)) {
+        self.dirty.extend(pools.iter().cloned());
+        if !pools.iter().all(|pool| self.take_repeat(pool, table, now)) {
             self.cancel_job(job, JobReason::RepeatBudget, table);
         }
     }
 
+    /// Avoids the endpoint of an overdue call, and requeues the pieces of the call.
     pub(super) fn abandon_call(&mut self, id: u64, table: &Table, now: Timestamp) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -268,6 +274,7 @@
     }
 }
 
+/// Outcome of a call as text for the log.
 fn describe(outcome: &BatchOutcome) -> String {
     let BatchOutcome::Pieces(pieces) = outcome else {
         return format!("{outcome:?}");
--- a/src/direct/owner/owners.rs
+++ b/src/direct/owner/owners.rs
@@ -40,6 +40,7 @@
     backoffs: Arc<Backoffs>,
     /// Rate limits announced by endpoints, for new schedulers.
     limits: Arc<KnownLimits>,
+    /// Number of schedulers created so far.
     created: u64,
 }
 
@@ -244,7 +245,7 @@
         self.for_each(|owner| owner.permit_granted(endpoint, purpose, until, table));
     }
 
-    /// Handles the refusal of a permit; its turn would be at `turn`.
+    /// Handles the refusal of a permit; the next turn for `priority` is at `turn`.
     pub fn permit_refused(
         &mut self,
         endpoint: &Endpoint,
--- a/src/direct/owner/pauses.rs
+++ b/src/direct/owner/pauses.rs
@@ -40,6 +40,7 @@
         Some(until.saturating_sub(now)).filter(|pause| !pause.is_zero())
     }
 
+    /// Cancels the jobs that wait for a pool and whose deadlines pass before its pause is over.
     fn cancel_unservable(&mut self, pool: &Name, pause: Duration, table: &Table, now: Timestamp) {
         let is_unservable = |id: &JobId| {
             self.jobs.get(id).is_some_and(|run| {
--- a/src/direct/owner/permits.rs
+++ b/src/direct/owner/permits.rs
@@ -58,6 +58,7 @@
         self.turns.retain(listed);
     }
 
+    /// Removes a pending request; returns whether there was one.
     fn remove_pending(&mut self, endpoint: &Name, purpose: Purpose) -> bool {
         let before = self.pending.len();
         self.pending.retain(|(id, asked)| id != endpoint || *asked != purpose);
@@ -107,6 +108,7 @@
         }
     }
 
+    /// Whether a permit is needed for an endpoint that could run waiting pieces.
     fn needs_permit(&self, endpoint: &Arc<Endpoint>, table: &Table, now: Timestamp) -> bool {
         let id = &endpoint.id;
         let has_work = |pool: &Name| {
@@ -156,7 +158,7 @@
         self.dirty.extend(table.batch_pools_of(&endpoint.id).cloned());
     }
 
-    /// Handles the refusal of a permit; its turn would be at `turn`.
+    /// Handles the refusal of a permit; the next turn for `priority` is at `turn`.
     pub(super) fn permit_refused(
         &mut self,
         endpoint: &Endpoint,
@@ -183,14 +185,15 @@
         }
     }
 
+    /// Whether it is time to ask for a permit to free results at an endpoint.
     fn may_free_results(&self, endpoint: &Endpoint, now: Timestamp) -> bool {
         let Some(rate) = self.limits.rate(endpoint, now) else {
             return false;
         };
-        let rest = Duration::try_from_secs_f64(TURNS_PER_FREE / rate.as_per_second());
-        let rest = rest.unwrap_or(Duration::MAX);
+        let interval = Duration::try_from_secs_f64(TURNS_PER_FREE / rate.as_per_second());
+        let interval = interval.unwrap_or(Duration::MAX);
         let last = self.permits.last_free.get(&endpoint.id);
-        last.is_none_or(|last| now >= last.saturating_add(rest))
+        last.is_none_or(|last| now >= last.saturating_add(interval))
             && !self.permits.is_pending(&endpoint.id, Purpose::Free)
             && self.permits.turns.turn(endpoint, FREE_PRIORITY, now).is_none()
     }
--- a/src/direct/owner/plan.rs
+++ b/src/direct/owner/plan.rs
@@ -34,7 +34,7 @@
 /// Result memory that a stage is expected to occupy, with times from now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Occupancy {
-    /// Time when the first result is begun.
+    /// Start of the first call.
     pub from: Duration,
     /// Time when the results are no longer needed.
     pub until: Duration,
@@ -54,8 +54,8 @@
         };
         let pool_timings = context.timings.get(&spec.pool, batch);
         let waiting = ready + pool_timings.wait() + pool_timings.call();
-        let at_work = remaining_call_time(stage, context);
-        runs.push(match at_work {
+        let running = remaining_call_time(stage, context);
+        runs.push(match running {
             Some(rest) if stage.waiting() == 0 => ExpectedRun { start: Duration::ZERO, end: rest },
             Some(rest) => ExpectedRun { start: Duration::ZERO, end: rest.max(waiting) },
             None => ExpectedRun { start: ready + pool_timings.wait(), end: waiting },
--- a/src/direct/owner/poison.rs
+++ b/src/direct/owner/poison.rs
@@ -76,9 +76,9 @@
         let made = call.pieces.iter().zip(outcomes);
         let made = made.filter(|(_, outcome)| matches!(outcome, PieceOutcome::Made(_)));
         let made: BTreeSet<(JobId, usize)> = made.map(|(((j, s, _), _), _)| (*j, *s)).collect();
-        let well = call.stages.iter().filter(|run| made.contains(&(run.job, run.stage)));
+        let succeeded = call.stages.iter().filter(|run| made.contains(&(run.job, run.stage)));
         let reports =
-            well.map(|stage| Action::PoisonReport(Report::Succeeded(stage.run.fingerprint)));
+            succeeded.map(|stage| Action::PoisonReport(Report::Succeeded(stage.run.fingerprint)));
         self.out.extend(reports);
     }
 }
--- a/src/direct/owner/producers.rs
+++ b/src/direct/owner/producers.rs
@@ -53,6 +53,7 @@
     pub blocked_until: Timestamp,
     /// No calls are sent before this time unless all endpoints are avoided.
     pub avoided_until: Timestamp,
+    /// Number of failures in a row.
     failures: u32,
     /// Moving average of measured over expected duration of calls.
     slowness: Option<f64>,
@@ -160,8 +161,8 @@
         self.entry(endpoint).blocked_until = now + FULL_PAUSE;
     }
 
-    /// Records that an endpoint had no memory for a result though `left` bytes were expected to be
-    /// free: they are used by an unknown owner.
+    /// Records that an endpoint had no memory for a result though `expected_free` bytes were
+    /// thought to be free: they are used by an unknown owner.
     pub fn no_result_memory(&mut self, endpoint: &Name, expected_free: u64, now: Timestamp) {
         let producer = self.entry(endpoint);
         producer.blocked_until = now + NO_MEMORY_PAUSE;
@@ -169,8 +170,8 @@
         producer.unattributed = Some((before + expected_free, now));
     }
 
-    /// Records a report that `free` of `room` bytes are free at an endpoint; what this owner does
-    /// not use of the rest is used by others.
+    /// Records a report that `free` of `capacity` bytes are free at an endpoint; what this owner
+    /// does not use of the rest is used by others.
     pub fn reported(&mut self, endpoint: &Name, capacity: u64, free: u64, now: Timestamp) {
         let producer = self.entry(endpoint);
         let others = capacity.saturating_sub(free).saturating_sub(producer.used);
@@ -209,7 +210,7 @@
         used.map(|(endpoint, m)| Usage { endpoint: endpoint.clone(), bytes: m.used }).collect()
     }
 
-    /// Free result memory in bytes at an endpoint with `room` bytes in all.
+    /// Free result memory in bytes at an endpoint with `capacity` bytes in all.
     pub fn free_bytes(&self, endpoint: &str, capacity: u64, now: Timestamp) -> u64 {
         let used = self.producers.get(endpoint).map_or(0, |m| m.used);
         capacity.saturating_sub(self.used_by_others(endpoint, now) + used)
--- a/src/direct/owner/restarts.rs
+++ b/src/direct/owner/restarts.rs
@@ -60,6 +60,7 @@
         lacking
     }
 
+    /// Runs a stage again that lacks results, unless its job is ready.
     fn rerun(&mut self, id: JobId, stage: usize, table: &Table, now: Timestamp) {
         let Some(run) = self.job_mut(id).filter(|run| !run.ready) else {
             return;
@@ -79,13 +80,13 @@
 
 /// Drops the results of a stage that an endpoint kept; returns whether there were any.
 fn drop_results(run: &mut JobRun, stage: usize, endpoint: &Name) -> bool {
-    let gone = if run.ready { Piece::Freed } else { Piece::Waiting { attempts: 1 } };
-    let mut had = false;
+    let replacement = if run.ready { Piece::Freed } else { Piece::Waiting { attempts: 1 } };
+    let mut dropped = false;
     for piece in &mut run.stages[stage].pieces {
         if matches!(piece, Piece::Produced(made) if made.endpoint == *endpoint) {
-            *piece = gone.clone();
-            had = true;
+            *piece = replacement.clone();
+            dropped = true;
         }
     }
-    had
+    dropped
 }
--- a/src/direct/owner/scheduler.rs
+++ b/src/direct/owner/scheduler.rs
@@ -68,23 +68,22 @@
     /// Whether the ledger holds the endpoints of the table.
     is_listed: bool,
     /// Endpoints whose state changes with time alone.
-    changing: BTreeSet<Name>,
-    changing_checked_at: Timestamp,
+    time_dependent: BTreeSet<Name>,
+    time_dependent_checked_at: Timestamp,
     pub(super) timers: Timers,
+    /// Handles of results to free, by endpoint id.
     pub(super) to_free: BTreeMap<Name, (Arc<Endpoint>, Vec<Handle>)>,
     /// Pools for which calls may be filled.
     pub(super) dirty: BTreeSet<Name>,
     last_check: Timestamp,
     /// Time when all endpoints were last asked for reports.
     reports_asked_at: Option<Timestamp>,
-    /// Event lag of this process.
     pub(super) event_lag: Duration,
     /// Time when this process last resumed after a suspension.
     pub(super) resumed_at: Timestamp,
     pub(super) last_submit: Option<Timestamp>,
     /// Time when jobs began to arrive after an interval without any.
     pub(super) active_since: Timestamp,
-    /// Number of jobs and waiting stages examined for decisions.
     pub(super) examined: u64,
     pub(super) out: Vec<Action>,
 }
@@ -108,8 +107,8 @@
             ledger: Ledger::default(),
             changed_jobs: Vec::new(),
             is_listed: false,
-            changing: BTreeSet::new(),
-            changing_checked_at: Timestamp::ZERO,
+            time_dependent: BTreeSet::new(),
+            time_dependent_checked_at: Timestamp::ZERO,
             timers: Timers::default(),
             to_free: BTreeMap::new(),
             dirty: BTreeSet::new(),
@@ -230,8 +229,8 @@
         };
         let listed = table.endpoint(endpoint).map_or(0, |e| e.incarnation);
         if report.incarnation != 0 && listed != 0 && report.incarnation != listed {
-            // The entry of the endpoint will follow with the incarnation of the report, or is
-            // already of a later one.
+            // The endpoint's entry of this incarnation is still to arrive, or the report is
+            // outdated.
             return self.out.push(Action::Log(LogEvent::NoReport { endpoint: endpoint.clone() }));
         }
         self.producers.reported(endpoint, spec.room_bytes, report.free_bytes, now);
@@ -343,9 +342,9 @@
             self.list_endpoints(table, now);
         }
         let mut changed = self.producers.take_changed();
-        if now >= self.changing_checked_at + CHECK_INTERVAL {
-            self.changing_checked_at = now;
-            changed.append(&mut self.changing);
+        if now >= self.time_dependent_checked_at + CHECK_INTERVAL {
+            self.time_dependent_checked_at = now;
+            changed.append(&mut self.time_dependent);
         }
         for endpoint in changed {
             for pool in table.batch_pools_of(&endpoint) {
@@ -383,12 +382,12 @@
             return;
         }
         if self.backoffs.until(endpoint, now).is_some() {
-            self.changing.insert(id.clone());
+            self.time_dependent.insert(id.clone());
             return self.ledger.pool(pool).endpoints.remove(id);
         }
         let is_limited = self.limits.rate(endpoint, now).is_some();
         if is_limited || self.producers.changes_with_time(id, now) || self.cold.is_cold(id, now) {
-            self.changing.insert(id.clone());
+            self.time_dependent.insert(id.clone());
         }
         let cold_start = table.pool(pool).and_then(|pool| pool.cold);
         let is_open = self.cold.opens(endpoint, cold_start, OWNERS_PER_CELL, now).is_none();
--- a/src/direct/owner/timings.rs
+++ b/src/direct/owner/timings.rs
@@ -33,6 +33,7 @@
     }
 }
 
+/// Adds a measurement to a moving average.
 fn update_average(before: &mut f64, measured: Duration) {
     *before += (measured.as_secs_f64() - *before) * NEW_SAMPLE_WEIGHT;
 }
