--- a/src/direct/requests/attempts.rs
+++ b/src/direct/requests/attempts.rs
@@ -1,4 +1,4 @@
-//! Calls for a request: where it is sent, what an answer proves, and whether it may be sent again.
+//! Calls to endpoints for a request: sending, evaluating the response, and deciding on a repeat.
 
 use std::sync::Arc;
 
@@ -15,31 +15,31 @@
 use crate::invariant::Violation;
 use crate::message::Timestamp;
 
-/// Calls for one request at most, also refused ones.
+/// Maximum number of calls for one request, including refused ones.
 const MAX_SENDS: u32 = 4;
-/// The status by which an endpoint says that a result is gone that it needs.
+/// Status by which an endpoint reports that a result it needs as input is gone.
 const RESULTS_GONE: u16 = 409;
 
-/// How an attempt failed that may have run.
+/// Failure of an attempt that may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Failure {
-    /// The answer proves nothing.
+    /// The response proves nothing.
     WrongAnswer,
-    /// The endpoint failed.
+    /// The endpoint returned a server error.
     ServerError,
-    /// Its connection broke.
+    /// The connection failed.
     Broken,
-    /// There was no answer in time.
+    /// No response arrived in time.
     Silent,
-    /// Its endpoint is in another life.
+    /// The endpoint has been restarted: its entry names another incarnation.
     EndpointRestarted,
 }
 
 impl Failure {
-    /// The words for lines.
+    /// The failure as written to log events.
     const fn as_str(self) -> &'static str {
         match self {
-            Self::WrongAnswer => "wrong answer",
+            Self::WrongAnswer => "invalid response",
             Self::ServerError => "server error",
             Self::Broken => "broken",
             Self::Silent => "silent",
@@ -47,7 +47,8 @@
         }
     }
 
-    /// How the call ended, where it was not answered: its endpoint may have ended.
+    /// Kind of missing response, if the failure suggests that the endpoint's process may have
+    /// ended.
     const fn unanswered(self) -> Option<Unanswered> {
         match self {
             Self::WrongAnswer | Self::ServerError => None,
@@ -118,7 +119,7 @@
         open.is_some_and(|a| a.number == attempt)
     }
 
-    /// Takes the open attempt out.
+    /// Removes the open attempt from its request.
     pub(super) fn close_attempt(&mut self, caller: u64) -> Option<Attempt> {
         let attempt = self.requests.get_mut(&caller)?.attempt.take()?;
         self.observations.ended(&attempt.endpoint);
@@ -126,7 +127,7 @@
         Some(attempt)
     }
 
-    /// An endpoint answered.
+    /// An endpoint responded, completely or with the head of a stream.
     pub fn answered(
         &mut self,
         caller: u64,
@@ -146,7 +147,8 @@
             return;
         };
         let endpoint = open.endpoint.clone();
-        // A misdirected request was answered by another endpoint.
+        // A misdirected request was answered by another endpoint, so its load report does not
+        // apply.
         if let Some((running, waiting, _)) = proof.load.filter(|_| !proof.from_other_endpoint) {
             self.observations.reported(&endpoint, running + waiting, now);
         }
@@ -183,14 +185,16 @@
         }
     }
 
-    /// A call that needs results goes out: an endpoint with a free place fetches them now, and they are
-    /// freed when it has them, not with its first event, which comes 100 to 300 ms after the call. Worth
-    /// 0.010 of 0.690 in fifteen pairs of days with bursts and losses; refusals of callers who came back fell
-    /// by a fifth.
+    /// A call that needs results is sent. An endpoint with a free slot fetches them right away.
+    /// They are freed once it has them rather than with its first event, which arrives 100 to 300
+    /// ms after the call: this raised the benchmark score by 0.010 of 0.690 in fifteen pairs of simulated
+    /// days with bursts and losses, and refusals of returning callers fell by a fifth.
     ///
-    /// A call is not out when it is ordered: its connection comes up behind what fills the host's link.
-    /// Counted from the order, 292 of 5,900 requests met their results freed on hosts of 10 Mbit/s to which
-    /// 20 long configurations came, and 52 s of stage work were thrown away; now none, and 0.6 s.
+    /// The time counts from here, not from the order of the call, because a connection may be
+    /// established late on a saturated link. Counted from the order, the results of 292 of 5,900
+    /// requests were freed too early on hosts of 10 Mbit/s that were receiving 20 long
+    /// configurations, which wasted 52 s of stage work; counted from here, none were, and 0.6 s
+    /// were wasted.
     pub fn call_sent(&mut self, caller: u64, attempt: u64, now: Timestamp) {
         let Some(request) = self.requests.get_mut(&caller).filter(|r| r.holds_results) else {
             return;
@@ -206,14 +210,14 @@
         }
     }
 
-    /// The endpoint of an attempt has had the time to fetch what it needs.
+    /// The endpoint of an attempt has had enough time to fetch its inputs.
     pub(super) fn fetched(&mut self, caller: u64, attempt: u64) {
         if self.is_current(caller, attempt) {
             self.release(caller);
         }
     }
 
-    /// The first event of a stream was passed on: its endpoint has fetched what it needs.
+    /// The first event of a stream was forwarded, so its endpoint has fetched the inputs.
     pub fn first_event(&mut self, caller: u64, now: Timestamp) {
         if let Some(request) = self.requests.get(&caller)
             && let Some(sent) = request.attempt.as_ref().and_then(|a| a.sent)
@@ -224,7 +228,7 @@
         self.release(caller);
     }
 
-    /// An endpoint did not find the results that a request needs.
+    /// Logs that an endpoint did not find the results that a request needs.
     fn results_gone(&mut self, caller: u64, attempt: &Attempt, now: Timestamp) {
         let Some(request) = self.requests.get(&caller).filter(|r| r.has_stages()) else {
             return;
@@ -275,12 +279,12 @@
             return;
         };
         let (pool, sends) = (request.pool.clone(), request.sends);
-        // Results that an endpoint can't fetch won't be there for another one either, unless they were
-        // freed: then they are made again.
+        // Results that one endpoint can't fetch are missing for others as well. If this gateway had
+        // them freed, the stages run again.
         let is_hopeless = proof.status == RESULTS_GONE && !request.lacks_results();
         let can_go_on = !is_hopeless && proof.status != 400 && sends < MAX_SENDS;
         let goes_on = can_go_on && self.repeats.take(&pool, self.processes, now);
-        let failure = format!("not run: {}", proof.status);
+        let failure = format!("not run: status {}", proof.status);
         self.note_failure(caller, &attempt, failure, if goes_on { "again" } else { "refused" });
         if goes_on {
             self.dispatch(caller, table, now);
@@ -314,7 +318,7 @@
         request.may_have_run += 1;
         let pool = request.pool.clone();
         let goes_on = may_try && self.repeats.take(&pool, self.processes, now);
-        let next = if goes_on { "again" } else { "given up" };
+        let next = if goes_on { "again" } else { "abandoned" };
         self.note_failure(caller, &attempt, failure.as_str().to_owned(), next);
         if goes_on {
             self.dispatch(caller, table, now);
@@ -323,7 +327,7 @@
         }
     }
 
-    /// A call failed before its answer.
+    /// A call failed without a response.
     pub fn call_failed(
         &mut self,
         caller: u64,
@@ -366,7 +370,7 @@
         }
     }
 
-    /// A stream that was passed on ended.
+    /// A forwarded stream ended.
     pub fn stream_ended(
         &mut self,
         caller: u64,
@@ -391,7 +395,7 @@
             return self.end(caller, "streamed", Some(&closed.endpoint.id), now);
         }
         if self.observations.failed(&closed.endpoint, now) {
-            self.note_avoided(&closed.endpoint.id, "broken streams");
+            self.note_avoided(&closed.endpoint.id, "failed streams");
         }
         self.report_unanswered(caller, &closed, Unanswered::Broken);
         let may_try = self.may_try_again(caller, now);
@@ -405,12 +409,12 @@
             && request.route.resumable
             && !request.has_stages()
             && self.repeats.take(&pool, self.processes, now);
-        let next = if goes_on { "resumed" } else { "broken off" };
-        self.note_failure(caller, &closed, "stream broke".to_owned(), next);
+        let next = if goes_on { "resumed" } else { "aborted" };
+        self.note_failure(caller, &closed, "stream failed".to_owned(), next);
         if goes_on {
             self.dispatch(caller, table, now);
         } else {
-            self.abort(caller, "stream broke", now);
+            self.abort(caller, "stream failed", now);
         }
     }
 
@@ -450,8 +454,8 @@
     }
 }
 
-/// Whether a status speaks against the endpoint: a server error, but for the one that says that the
-/// caller's time was over.
+/// Whether a status counts as a failure of the endpoint: any server error except 504, which reports
+/// that the caller's deadline has passed.
 const fn is_own_failure(status: u16) -> bool {
     status >= 500 && status != 504
 }
--- a/src/direct/requests/changes.rs
+++ b/src/direct/requests/changes.rs
@@ -1,4 +1,4 @@
-//! What changed endpoints mean for the requests of one gateway: what is forgotten, and what may have run.
+//! Effects of changed endpoints on the requests of one gateway.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use crate::message::Timestamp;
 
 impl Requests {
-    /// Endpoints changed, whose entries are `entered` now, or the whole configuration.
+    /// The configuration or entries of endpoints changed; `entered` holds the new entries.
     pub fn changed(
         &mut self,
         table: &Table,
@@ -34,12 +34,14 @@
         self.endpoints_restarted(&merged.restarted, table, now);
     }
 
-    /// Data centres get work again after an order was taken back.
+    /// An evacuation order for these data centres was withdrawn, so their endpoints get requests
+    /// again.
     pub fn return_of(&mut self, data_centres: &BTreeSet<Name>, table: &Table, now: Timestamp) {
         self.cold.return_of(data_centres, table, now);
     }
 
-    /// An endpoint told at a time how much longer it is cold; says whether it was taken for cold until now.
+    /// An endpoint reported at `at` for how long it stays cold. Returns whether it counted as cold
+    /// before.
     pub fn told_cold(
         &mut self,
         endpoint: &Endpoint,
@@ -52,8 +54,9 @@
         was_cold
     }
 
-    /// An endpoint asked for a pause until a time: requests go elsewhere, and it is filled by degrees after it. What is
-    /// in its stages and would find all its endpoints in pauses until its deadline is refused now.
+    /// An endpoint asked for a pause: requests go to other endpoints, and after the pause the load
+    /// is raised gradually. Requests in their stages whose pool stays paused beyond their deadline
+    /// are refused now.
     pub fn paused(
         &mut self,
         endpoint: &Endpoint,
@@ -72,7 +75,7 @@
         }
     }
 
-    /// The end of the first pause where all endpoints of a pool that take work are in one.
+    /// When the first pause ends, if all endpoints of a pool that accept requests are paused.
     fn all_paused_until(&self, pool: &str, table: &Table, now: Timestamp) -> Option<Timestamp> {
         let working = table.members(pool).iter().filter(|endpoint| !endpoint.leaving);
         let ends: Option<Vec<Timestamp>> =
@@ -90,8 +93,9 @@
         }
     }
 
-    /// Endpoints are in another life: what they had not answered may have run, and never will be answered.
-    /// A stream that is being passed on ends with its connection, behind what came over it.
+    /// Endpoints have a new incarnation: calls that the previous one did not answer may have run
+    /// and never will be answered. Streams are left to end with their connections, after the data
+    /// already received.
     fn endpoints_restarted(&mut self, restarted: &[Name], table: &Table, now: Timestamp) {
         if restarted.is_empty() {
             return;
@@ -107,7 +111,8 @@
         }
     }
 
-    /// An endpoint of a request's pool can't be reached: if it is back, it is in another life and cold.
+    /// An endpoint of a request's pool is unreachable: expects it to return with a new incarnation,
+    /// cold.
     pub(super) fn may_have_restarted(
         &mut self,
         caller: u64,
--- a/src/direct/requests/choice.rs
+++ b/src/direct/requests/choice.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a request may be sent to, and what becomes of it where there is none.
+//! Selection of the endpoint of a request, and the reason if there is none.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,42 +11,44 @@
 use crate::message::Timestamp;
 use crate::policy::place::place;
 
-/// The endpoint of a request.
+/// The selected endpoint of a request.
 #[derive(Debug)]
 pub(super) struct Choice {
     pub(super) endpoint: Arc<Endpoint>,
     pub(super) because: &'static str,
-    /// How many endpoints there were to choose from.
+    /// Number of endpoints that were available for the selection.
     pub(super) candidates: usize,
-    /// How long the request may wait for its turn there, if the endpoint has a limit.
+    /// How long the request may wait for a permit, if the endpoint has a rate limit.
     pub(super) wait: Duration,
 }
 
-/// Why a request has no endpoint.
+/// Why no endpoint can be selected for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum NoPlace {
-    /// No endpoint of its pool takes work, or it was sent to all that do.
+    /// No endpoint of the pool accepts requests, or the request was sent to all that do.
     NoEndpoint,
-    /// None that does stands in one of its homes.
+    /// No endpoint that accepts requests is in one of the request's allowed regions.
     NotAtHome,
-    /// All that do are cold, and this gateway has used its part of what they bear.
+    /// All suitable endpoints are cold, and this gateway has used its share of their capacity.
     AllCold {
-        /// Until the next turn.
+        /// Time until this gateway may next send to one of them.
         for_at_least: Duration,
     },
-    /// The next one of those that do asked this gateway for a pause, or is filled by degrees after one.
+    /// The suitable endpoint that is available first asked for a pause, or its load is still being
+    /// raised after one.
     AllPaused {
-        /// Until it gets something.
+        /// Time until it becomes available.
         for_at_least: Duration,
     },
-    /// The next one of those that do has a limit, and others come before this request.
+    /// The suitable endpoint that is available first has a rate limit, and other requests precede
+    /// this one.
     AllLimited {
-        /// Until it would be its turn.
+        /// Time until a permit for this request is expected.
         for_at_least: Duration,
     },
 }
 
-/// Why an endpoint that takes work gets nothing now.
+/// Why an endpoint that accepts requests is temporarily unavailable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Because {
     Cold,
@@ -54,7 +56,7 @@
     Limited,
 }
 
-/// An endpoint that takes work, but not now.
+/// Temporary unavailability of an endpoint. Ordered by its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Closed {
     until: Timestamp,
@@ -73,7 +75,7 @@
 }
 
 impl Requests {
-    /// Chooses among the endpoints that take work, stand at home and are open to this gateway.
+    /// Selects among the endpoints that accept requests, are in allowed regions and are available.
     pub(super) fn choose(
         &self,
         request: &Request,
@@ -115,7 +117,8 @@
         }
     }
 
-    /// The endpoint where it is a request's turn first, if it may wait for that.
+    /// The endpoint with a rate limit that is expected to grant a permit first, if the request may
+    /// wait that long.
     fn first_turn<'a>(
         &self,
         endpoints: impl Iterator<Item = &'a Arc<Endpoint>>,
@@ -132,8 +135,9 @@
         Some(Choice { endpoint: first.clone(), because: "turn", candidates: 1, wait })
     }
 
-    /// When the first endpoint of a request's pool takes something again; `None` where one does now. Those that it was
-    /// sent to are among them: when it comes back, it may go to any.
+    /// When the first endpoint of the request's pool becomes available; `None` if one is available
+    /// now. Includes the endpoints that the request was already sent to, because a retry by the
+    /// caller may use any of them.
     fn next_of_all(
         &self,
         request: &Request,
@@ -147,7 +151,7 @@
         closed?.into_iter().min()
     }
 
-    /// Whether an endpoint gets nothing of a request now, and until when.
+    /// Whether and until when an endpoint is unavailable to a request.
     fn closed(
         &self,
         endpoint: &Endpoint,
@@ -161,7 +165,8 @@
         self.closed_to_all(endpoint, bears, now).into_iter().chain(turn).max()
     }
 
-    /// Whether an endpoint gets nothing now, whatever others send, and until when.
+    /// Whether and until when an endpoint is unavailable to all requests, regardless of its rate
+    /// limit.
     pub(super) fn closed_to_all(
         &self,
         endpoint: &Endpoint,
@@ -177,7 +182,7 @@
         cold.into_iter().chain(paused).max()
     }
 
-    /// Gives a request up that has no endpoint.
+    /// Refuses a request for which no endpoint can be selected.
     pub(super) fn refuse_without_place(&mut self, caller: u64, no_place: NoPlace, now: Timestamp) {
         let (reason, retry_after) = match no_place {
             NoPlace::NoEndpoint => (Refused::NoEndpoint, RETRY_SOON),
@@ -193,7 +198,8 @@
         self.refuse(caller, reason, retry_after, now);
     }
 
-    /// Connections to one endpoint of a pool that this gateway may hold: all gateways share its bound.
+    /// Number of connections that this gateway may hold to one endpoint of a pool: its share of the
+    /// bound for all gateways.
     pub(super) fn connection_share(&self, pool: &Name, table: &Table) -> usize {
         let bound = table.pool(pool).map_or(u32::MAX, |p| p.max_connections) as usize;
         (bound / self.processes.max(1)).max(1)
--- a/src/direct/requests/dispatch.rs
+++ b/src/direct/requests/dispatch.rs
@@ -1,4 +1,4 @@
-//! A request that may go out: where to, with which permit, or why not.
+//! Sending of requests that are ready to run, after a permit if the endpoint has a rate limit.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 use crate::direct::requests::{RETRY_SOON, Requests};
 use crate::message::Timestamp;
 
-/// A request with less time left than that is not sent any more.
+/// Minimum time before the deadline at which a request is still sent.
 pub(super) const TOO_LATE: Duration = Duration::from_millis(5);
 
 impl Requests {
-    /// Hands a request to an endpoint, or gives it up.
+    /// Sends a request to an endpoint, asks for a permit to do so, or refuses the request.
     pub(super) fn dispatch(&mut self, caller: u64, table: &Table, now: Timestamp) {
         if !self.may_go_on(caller, now) {
             return;
@@ -22,8 +22,9 @@
             return;
         };
         match self.choose(request, table, now) {
-            // What an endpoint in need takes, it takes from all gateways together: none can tell by itself whether its
-            // own request is one too many. What is refused here goes to endpoints that have room.
+            // A rate limit holds for the sum over all gateways, so only a permit tells whether this
+            // request is within it. A refused permit makes the request try endpoints with free
+            // capacity.
             Ok(choice) if self.limits.rate(&choice.endpoint, now).is_some() => {
                 self.await_permit(caller, choice, now);
             }
@@ -32,7 +33,8 @@
         }
     }
 
-    /// Whether a request may be sent now; one that may not is given up, or its stages are made again.
+    /// Whether a request may be sent now. Otherwise refuses it, or submits its stages again if
+    /// their results were freed.
     pub(super) fn may_go_on(&mut self, caller: u64, now: Timestamp) -> bool {
         let Some(request) = self.requests.get_mut(&caller) else {
             return false;
@@ -47,7 +49,7 @@
             && !self.make_again(caller)
     }
 
-    /// Sends a request to the endpoint that was chosen.
+    /// Sends a request to the selected endpoint.
     pub(super) fn send(
         &mut self,
         caller: u64,
@@ -73,8 +75,8 @@
         self.call(caller, endpoint, permit, table, now);
     }
 
-    /// Has the stages of a request made again whose results were freed since an endpoint took it;
-    /// says whether that is so.
+    /// Submits the stages of a request again if their results were freed after an endpoint accepted
+    /// it. Returns whether they were.
     fn make_again(&mut self, caller: u64) -> bool {
         let Some(request) = self.requests.get_mut(&caller).filter(|r| r.lacks_results()) else {
             return false;
--- a/src/direct/requests/early.rs
+++ b/src/direct/requests/early.rs
@@ -1,64 +1,65 @@
-//! Requests that come before the first configuration: they wait for the moments until it is there.
+//! Requests that arrive before the first configuration and wait for it.
 //!
-//! After all gateways were lost at once, callers stand at the door before the processes that come back
-//! have read anything. The configuration follows within milliseconds; a refusal would have each of them
-//! come back, all together.
+//! When all gateways restart at once, callers connect before the new processes have read a
+//! configuration. It follows within milliseconds, whereas refused callers would all retry at the
+//! same time.
 
 use std::time::Duration;
 
 use crate::direct::event::IncomingRequest;
 use crate::message::Timestamp;
 
-/// The longest wait for a configuration: it comes 10 to 20 ms after a process starts, and 40 to 60 callers
-/// stand at the door before it when all processes were lost at once.
+/// Maximum wait for a configuration, which arrives 10 to 20 ms after a process starts. After a
+/// restart of all processes, 40 to 60 callers connect before it.
 const LONGEST: Duration = Duration::from_millis(150);
-/// A process that has its first configuration knows its peers and what its endpoints hold so much
-/// later: whoever begins stages at once does so beside other owners, into room that is taken. With the
-/// reports of endpoints worth 0.010 of 0.680 in fifteen pairs of days with bursts and losses; waiting for
-/// the configuration alone costs as much.
+/// Time after the first configuration until a process has received the state of its peers and
+/// endpoints. Stages that start earlier compete with those of other owners for result memory that
+/// is already in use. Together with the reports of endpoints, this wait raised the benchmark score
+/// by 0.010 of 0.680 in fifteen pairs of test days with bursts and losses; waiting for the
+/// configuration alone lowered it by as much.
 pub const SETTLING: Duration = Duration::from_millis(25);
-/// A request waits for that part of its time at most.
+/// A request waits for at most its timeout divided by this.
 const SHARE_OF_TIME: u32 = 8;
-/// Requests that wait at most, over all callers; bounds memory.
+/// Maximum number of waiting requests; bounds memory.
 const MOST: usize = 1_000;
 
-/// A request that waits.
+/// A request that waits for the first configuration.
 #[derive(Debug)]
 pub struct Early {
-    /// Its caller.
+    /// Caller of the request.
     pub caller: u64,
-    /// What is asked.
+    /// The request as received.
     pub incoming: IncomingRequest,
-    /// When it came.
+    /// When the request arrived.
     pub arrived: Timestamp,
     until: Timestamp,
 }
 
-/// Requests that wait for the first configuration, in the order in which they came.
+/// Requests that wait for the first configuration, in order of arrival.
 #[derive(Debug, Default)]
 pub struct Waiting {
     requests: Vec<Early>,
 }
 
 impl Waiting {
-    /// Whether another one may wait.
+    /// Whether another request may be added.
     pub fn is_open(&self) -> bool {
         self.requests.len() < MOST
     }
 
-    /// Takes a request in.
+    /// Adds a request.
     pub fn add(&mut self, caller: u64, incoming: IncomingRequest, now: Timestamp) {
         let share = incoming.timeout.map_or(LONGEST, |allowed| allowed / SHARE_OF_TIME);
         let until = now + share.min(LONGEST);
         self.requests.push(Early { caller, incoming, arrived: now, until });
     }
 
-    /// A caller went away.
+    /// Removes the request of a caller that disconnected.
     pub fn caller_gone(&mut self, caller: u64) {
         self.requests.retain(|early| early.caller != caller);
     }
 
-    /// Takes out those for which enough is known, and those whose wait is over.
+    /// Removes and returns the requests that can be decided now, and those whose wait is over.
     pub fn take_due(
         &mut self,
         knows: impl Fn(&IncomingRequest) -> bool,
@@ -70,12 +71,12 @@
         due
     }
 
-    /// Whether none wait.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// When the first wait is over.
+    /// When the first wait ends.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         self.requests.iter().map(|early| early.until).min()
     }
--- a/src/direct/requests/endpoints.rs
+++ b/src/direct/requests/endpoints.rs
@@ -1,4 +1,4 @@
-//! What one gateway has observed of the endpoints that it calls itself.
+//! What one gateway observes of the endpoints that it calls itself.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,23 +7,24 @@
 use crate::message::Timestamp;
 use crate::policy::place::Place;
 
-/// The first time that an endpoint which failed is avoided; doubles with each failure in a row.
+/// Basis of the time for which a failing endpoint is avoided; doubles with each consecutive
+/// failure.
 const FIRST_AVOIDANCE: Duration = Duration::from_millis(500);
-/// The longest time that an endpoint is avoided.
+/// Maximum time for which an endpoint is avoided.
 const LONGEST_AVOIDANCE: Duration = Duration::from_secs(4);
-/// An endpoint that said it was full is passed over for so long.
+/// Time for which an endpoint is avoided after it reported to be full.
 const FULL_PAUSE: Duration = Duration::from_millis(60);
-/// A report of load is used for so long.
+/// Maximum age of a load report that is still used.
 const REPORT_KEPT: Duration = Duration::from_secs(1);
-/// The weight of a new measurement.
+/// Weight of a new sample in the moving averages.
 const NEW_WEIGHT: f64 = 0.2;
-/// Failures of so large a share of the last calls make an endpoint avoided.
+/// Average share of failed calls from which on an endpoint is avoided.
 const FAILING_SHARE: f64 = 0.25;
 
-/// One endpoint as seen from here.
+/// Observations of one incarnation of an endpoint.
 #[derive(Debug, Clone, Default)]
 struct Observed {
-    /// The life that all of it is about.
+    /// Incarnation of the endpoint that the observations belong to.
     incarnation: u64,
     in_flight: u32,
     reported: Option<(u32, Timestamp)>,
@@ -33,14 +34,14 @@
     answer_time: Option<f64>,
 }
 
-/// The endpoints that one gateway has called.
+/// Observations of all endpoints that one gateway has called.
 #[derive(Debug, Default)]
 pub struct Observations {
     observed: HashMap<Name, Observed>,
 }
 
 impl Observations {
-    /// What was observed of an endpoint that was called, in this very life of it.
+    /// The observations of an endpoint, if they belong to its current incarnation.
     fn entry(&mut self, endpoint: &Endpoint) -> Option<&mut Observed> {
         let observed = self.observed.get_mut(&endpoint.id)?;
         (observed.incarnation == endpoint.incarnation).then_some(observed)
@@ -51,7 +52,7 @@
         (observed.incarnation == endpoint.incarnation).then_some(observed)
     }
 
-    /// A call was sent. What was observed of a life before is forgotten.
+    /// A call was sent. Discards the observations of an earlier incarnation.
     pub fn sent(&mut self, endpoint: &Endpoint) {
         let observed = self.observed.entry(endpoint.id.clone()).or_default();
         if observed.incarnation != endpoint.incarnation {
@@ -67,14 +68,14 @@
         }
     }
 
-    /// An endpoint told its load: requests that run and wait.
+    /// An endpoint reported its load: the number of running and waiting requests.
     pub fn reported(&mut self, endpoint: &Endpoint, load: u32, now: Timestamp) {
         if let Some(observed) = self.entry(endpoint) {
             observed.reported = Some((load, now));
         }
     }
 
-    /// An endpoint answered well, after this time where it is known.
+    /// An endpoint responded without a server error; `took` is the response time, if it is known.
     pub fn answered(&mut self, endpoint: &Endpoint, took: Option<Duration>) {
         let Some(observed) = self.entry(endpoint) else {
             return;
@@ -88,7 +89,7 @@
         observed.answer_time = Some(before + (took - before) * NEW_WEIGHT);
     }
 
-    /// An endpoint is full: it is passed over for a moment.
+    /// An endpoint is full: avoids it for a short time.
     pub fn full(&mut self, endpoint: &Endpoint, now: Timestamp) {
         let Some(observed) = self.entry(endpoint) else {
             return;
@@ -96,7 +97,7 @@
         observed.avoided_until = observed.avoided_until.max(now + FULL_PAUSE);
     }
 
-    /// An endpoint failed; says whether it is newly avoided.
+    /// A call to an endpoint failed; returns whether the endpoint is newly avoided.
     pub fn failed(&mut self, endpoint: &Endpoint, now: Timestamp) -> bool {
         let Some(observed) = self.entry(endpoint) else {
             return false;
@@ -112,7 +113,7 @@
         !was_avoided
     }
 
-    /// An endpoint can't be reached at all; says whether it is newly avoided.
+    /// An endpoint is unreachable; returns whether it is newly avoided.
     pub fn unreachable(&mut self, endpoint: &Endpoint, now: Timestamp) -> bool {
         let Some(observed) = self.entry(endpoint) else {
             return false;
@@ -123,12 +124,13 @@
         !was_avoided
     }
 
-    /// Whether an endpoint runs another request at once, as far as is known.
+    /// Whether an endpoint is assumed to have a free slot.
     pub fn has_place(&self, endpoint: &Endpoint, now: Timestamp) -> bool {
         self.load(endpoint, now) < endpoint.slots
     }
 
-    /// Requests that run or wait at an endpoint, as far as is known.
+    /// Number of requests assumed to run or wait at an endpoint: the larger of this gateway's calls
+    /// and the last report.
     fn load(&self, endpoint: &Endpoint, now: Timestamp) -> u32 {
         let Some(observed) = self.get(endpoint) else {
             return 0;
@@ -137,8 +139,8 @@
         observed.in_flight.max(reported.map_or(0, |(load, _)| load))
     }
 
-    /// How an endpoint looks to a choice; `median` is its pool's usual time of an answer in seconds,
-    /// `connections` what this gateway may hold to it.
+    /// The endpoint as a candidate for selection. `median` is the median response time in its pool
+    /// in seconds; `connections` is the number of connections that this gateway may hold to it.
     pub fn place<'a>(
         &self,
         endpoint: &'a Endpoint,
@@ -162,14 +164,14 @@
         }
     }
 
-    /// The usual time of an answer among endpoints, in seconds.
+    /// The median of the average response times of these endpoints, in seconds.
     pub fn median_answer<'a>(&self, pool: impl Iterator<Item = &'a Endpoint>) -> Option<f64> {
         let mut times: Vec<f64> = pool.filter_map(|e| self.get(e)?.answer_time).collect();
         times.sort_by(f64::total_cmp);
         times.get(times.len() / 2).copied()
     }
 
-    /// Forgets endpoints that are not listed any more.
+    /// Removes endpoints that are not listed any more and have no open calls.
     pub fn retain(&mut self, listed: impl Fn(&str) -> bool) {
         self.observed.retain(|id, o| listed(id) || o.in_flight > 0);
     }
--- a/src/direct/requests/experience.rs
+++ b/src/direct/requests/experience.rs
@@ -1,44 +1,44 @@
-//! How long requests took here, by route and size: what a stopping process goes by when it decides
-//! what it can still end.
+//! Durations of past requests by route and size. A stopping process uses them to decide which
+//! requests can still finish.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::time::Duration;
 
 use crate::direct::published::model::Name;
 
-/// So many of the last requests of a route and a class of sizes count.
+/// Number of samples kept for each route and size class.
 const KEPT: usize = 64;
-/// So many alike say enough.
+/// Minimum number of samples for an estimate.
 const FEW: usize = 8;
-/// Classes of smaller sizes that are alike, their times scaled up: sizes of a quarter and more.
+/// Number of smaller size classes whose scaled samples count for a size: down to a quarter of it.
 const SMALLER_CLASSES: u32 = 2;
-/// The share of requests that take no longer than is usual.
+/// Quantile of the durations that counts as typical.
 const USUAL: f64 = 0.95;
-/// What surely ends may take so much of the worst that was seen.
+/// Factor on the longest observed duration for a safe upper bound.
 const SAFETY: f64 = 1.2;
 
-/// A balancer that asks every second has missed two answers by then.
+/// Time after which a balancer that probes every second has seen two failed probes.
 pub const NOTICED: Duration = Duration::from_millis(2_600);
 
-/// A part of a request's way.
+/// A span of a request's duration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Part {
-    /// From its arrival to its whole answer.
+    /// From the arrival to the complete answer.
     Whole,
-    /// Its stages, from its arrival on.
+    /// From the arrival to the last result of the stages.
     Stages,
-    /// Its run, from the call to the whole answer.
+    /// From the call of the endpoint to the complete answer.
     Run,
 }
 
-/// How sure an expectation must be.
+/// Required confidence of an estimate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sure {
-    /// Nearly all such requests took no longer.
+    /// Nearly all requests of this size took no longer.
     Usually,
-    /// No request alike took as long, and there were some.
+    /// No similar request took longer, and there are enough of them.
     Surely,
-    /// Whatever it takes: its time is over by then.
+    /// No estimate from past requests: only the request's own deadline bounds its duration.
     ByDeadline,
 }
 
@@ -49,29 +49,29 @@
 }
 
 impl Took {
-    /// The time that a request of this size would take: a longer run takes longer in proportion.
+    /// The duration scaled to a larger size in proportion; never scaled down.
     fn scaled_to(self, size: u64) -> Duration {
         let factor = size as f64 / self.size.max(1) as f64;
         self.time.mul_f64(factor.max(1.0))
     }
 }
 
-/// What requests of one route took for one part of their way, by class of sizes.
+/// Samples of one span of one route, by size class.
 type Classes = BTreeMap<u32, VecDeque<Took>>;
 
-/// The times that requests took lately.
+/// Recent durations of requests.
 #[derive(Debug, Default)]
 pub struct Experience {
     took: HashMap<Name, HashMap<Part, Classes>>,
 }
 
-/// Sizes within a factor of two are a class.
+/// Size class: sizes within a factor of two share one.
 const fn class(size: u64) -> u32 {
     u64::BITS - size.leading_zeros()
 }
 
 impl Experience {
-    /// A request of this size took so long for a part of its way.
+    /// Records the duration of a span of a request.
     pub fn took(&mut self, route: &Name, part: Part, size: u64, time: Duration) {
         let parts = self.took.entry(route.clone()).or_default();
         let took = parts.entry(part).or_default().entry(class(size)).or_default();
@@ -81,8 +81,8 @@
         took.push_back(Took { size, time });
     }
 
-    /// A request did not end within this time: that tells something only where it is more than others
-    /// of its class took.
+    /// Records that a request has not finished within this time. This adds information only if the
+    /// time exceeds the longest sample of its class.
     pub fn took_more(&mut self, route: &Name, part: Part, size: u64, than: Duration) {
         let of_class = self.classes(route, part).and_then(|c| c.get(&class(size)));
         let worst = of_class.and_then(|took| took.iter().map(|t| t.time).max());
@@ -91,13 +91,13 @@
         }
     }
 
-    /// Forgets routes that are not published any more.
+    /// Removes routes that are not published any more.
     pub fn retain<'a>(&mut self, published: impl Iterator<Item = &'a Name>) {
         let published: HashSet<&Name> = published.collect();
         self.took.retain(|route, _| published.contains(route));
     }
 
-    /// How long a request takes by experience; `None` where there is none.
+    /// Expected duration of a request; `None` without enough samples.
     pub fn expected(&self, route: &Name, part: Part, size: u64, sure: Sure) -> Option<Duration> {
         let classes = self.classes(route, part)?;
         match sure {
@@ -112,7 +112,7 @@
     }
 }
 
-/// What is usual for a class of sizes, or for all where too few of the class were seen.
+/// Typical duration in a size class, or over all classes if this class has too few samples.
 fn usual(classes: &Classes, class: u32) -> Option<Duration> {
     let own = classes.get(&class).filter(|took| took.len() >= FEW);
     let mut times: Vec<Duration> = match own {
@@ -123,8 +123,8 @@
     times.get((times.len() as f64 * USUAL) as usize).copied()
 }
 
-/// The worst that a request of this size may take, by those alike; `None` if there are too few: what
-/// is much smaller, or was seen once, says nothing of it.
+/// Longest duration of similar requests, scaled to this size; `None` if there are too few. Much
+/// smaller requests, or a single one, give no bound.
 fn worst(classes: &Classes, size: u64) -> Option<Duration> {
     let own = class(size);
     let alike = classes.range(own.saturating_sub(SMALLER_CLASSES)..=own + 1);
@@ -135,13 +135,14 @@
     times.into_iter().max()
 }
 
-/// How sure it must be that what is taken on ends before the process does.
+/// The confidence required to accept work in a stopping process.
 ///
-/// Until the balancer has seen that the process is not ready, callers come who could not know, and
-/// what waits for its stages is half made: what usually ends is worth its small risk, unless others
-/// serve, who take a new request at once. After that, only what surely ends. A new stream then has to be
-/// over by its own deadline: streams of one route differ by far, the long ones end last, and a refusal
-/// costs its caller no more than the process's restart.
+/// Until the balancer has noticed that the process is not ready, callers are still routed here and
+/// requests in their stages are half done, so a typical duration suffices. New requests are an
+/// exception if other gateways serve, which can accept them at once. After that a safe upper bound
+/// is required. A new stream must then end by its own deadline: durations of streams vary widely
+/// within a route, the long ones end last, and a refusal costs the caller no more than the restart
+/// of the process.
 pub fn must_be(stop_age: Duration, is_new: bool, is_stream: bool, others_serve: bool) -> Sure {
     let is_noticed = stop_age >= NOTICED;
     if is_noticed && is_new && is_stream {
--- a/src/direct/requests/fetches.rs
+++ b/src/direct/requests/fetches.rs
@@ -1,25 +1,28 @@
-//! How long results are kept for an endpoint that fetches them, by experience.
+//! How long results are kept for endpoints that fetch them, learnt from past first events.
 //!
-//! An endpoint has its inputs when its first event comes, so the quickest of the last first events of
-//! a pool bounds what fetches take there, whatever its hosts and links are like.
+//! An endpoint has its inputs by the time it sends its first event. The minimum over the recent
+//! first events of a pool is therefore an upper bound of its fetch time, independent of its hosts
+//! and links.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use crate::direct::published::model::Name;
 
-/// So many first events say enough; until then results are kept until each.
+/// Minimum number of first events for an estimate; until then results are kept until the first
+/// event.
 const FEW: u32 = 8;
-/// With each first event, the quickest counts for so much more: it is forgotten after a change.
+/// Growth of the minimum with each first event, so that it adapts after a change.
 const FORGETTING: f64 = 1.02;
-/// Results are kept for so long at least: with that, freeing them early was measured.
+/// Minimum time for which results are kept. Early freeing was measured with this bound.
 const SHORTEST: Duration = Duration::from_millis(60);
 
 /// First events of one pool.
 #[derive(Debug)]
 struct FirstEvents {
     count: u32,
-    /// From when a call went out.
+    /// Minimum time from sending a call to its first event, raised by a small factor with each
+    /// event.
     quickest: Duration,
 }
 
@@ -30,7 +33,7 @@
 }
 
 impl Fetches {
-    /// The first event came so long after its call went out.
+    /// The first event arrived this long after its call was sent.
     pub fn begun(&mut self, pool: &Name, after: Duration) {
         let first = FirstEvents { count: 0, quickest: after };
         let events = self.pools.entry(pool.clone()).or_insert(first);
@@ -38,18 +41,19 @@
         events.quickest = after.min(events.quickest.mul_f64(FORGETTING));
     }
 
-    /// Results were freed before they were fetched: what was known of the pool is wrong.
+    /// Results were freed before they were fetched: discards the estimate of the pool.
     pub fn missed(&mut self, pool: &Name) {
         self.pools.remove(pool);
     }
 
-    /// How long after a call went out its results are kept; `None` until its first event.
+    /// How long results are kept after a call was sent; `None` if they are kept until its first
+    /// event.
     pub fn kept_for(&self, pool: &Name) -> Option<Duration> {
         let known = self.pools.get(pool).filter(|p| p.count >= FEW)?;
         Some(known.quickest.max(SHORTEST))
     }
 
-    /// Forgets pools that are not published any more.
+    /// Removes pools that are not published any more.
     pub fn retain(&mut self, is_published: impl Fn(&Name) -> bool) {
         self.pools.retain(|pool, _| is_published(pool));
     }
--- a/src/direct/requests/mod.rs
+++ b/src/direct/requests/mod.rs
@@ -1,13 +1,13 @@
-//! Callers' requests in one gateway: each gets exactly one final answer.
+//! Requests of callers in one gateway: each gets exactly one final answer.
 //!
-//! A second call needs a proof that the first did not run, or a request that may run again, and a
-//! repeat out of the shared budget.
+//! A request is sent a second time only if the first call is proved not to have run or the request
+//! is repeatable, and only within the shared repeat budget.
 //!
-//! `core` hands in what callers, endpoints and owners do; `stages` follows the stages at their owner, `dispatch` sends
-//! what may go out, `attempts` follows the calls, `choice` says where they go, `permits` what waits for its turn at an
-//! endpoint with a limit, `ramp` how far one is filled again after a pause, `changes` what changed endpoints mean,
-//! `stopping` what can still end in a process that stops, `patience` what one does that is short of time, `poison` what
-//! crashes endpoints, `early` what comes before the first configuration. Which endpoint is chosen is `policy::place`'s.
+//! `core` passes in events of callers, endpoints and owners. `stages` and `owners` have the stages
+//! run; `dispatch` and `choice` send requests to endpoints, selected by `policy::place`; `attempts`
+//! tracks the calls; `permits` and `ramp` limit the load after endpoints asked for it; `changes`
+//! applies changed endpoints; `early`, `stopping`, `patience` and `poison` handle startup,
+//! shutdown, overload and requests that crash endpoints.
 
 mod attempts;
 mod changes;
@@ -56,20 +56,21 @@
 use crate::direct::requests::stopping::Stopping;
 use crate::message::Timestamp;
 
-/// When to come back where nothing better is known.
+/// Delay after which refused callers should retry, unless a better estimate is available.
 pub(super) const RETRY_SOON: Duration = Duration::from_millis(250);
-/// When to come back to a process that knows too little.
+/// Delay after which callers should retry, at another gateway, while this one has no configuration.
 pub(super) const RETRY_ELSEWHERE: Duration = Duration::from_millis(100);
-/// Callers whose endpoints all asked for a pause, or have limits, come back within that after the time that they are
-/// told: it is as long as it is, not half as long again, and the endpoints are filled by degrees anyhow.
+/// Upper bound of the jitter added to `retry_after` when all endpoints are paused or rate-limited.
+/// An unbounded jitter would add up to half of the pause; the gradual refill of the endpoints
+/// limits the load anyway.
 const PAUSE_SPREAD: Duration = Duration::from_millis(500);
-/// A request without a deadline of its own.
+/// Timeout of a request that states none.
 const DEFAULT_ALLOWED: Duration = Duration::from_secs(60);
-/// A process that stood still reads for so long what came meanwhile before it judges who was silent: answers that
-/// are ready are delivered, also late ones.
+/// After the process was suspended, timers are deferred by this time so that responses which
+/// arrived during the suspension are read, and late ones delivered, before calls count as silent.
 pub const READ_FIRST: Duration = Duration::from_millis(100);
 
-/// What is due for a request.
+/// Kind of a timer of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     Deadline,
@@ -78,7 +79,7 @@
     Fetched(u64),
 }
 
-/// The requests of one gateway.
+/// The requests of one gateway and the state that decisions on them depend on.
 #[derive(Debug)]
 pub struct Requests {
     pub(super) own: SocketAddr,
@@ -89,45 +90,45 @@
     pub(super) timers: BTreeSet<(Timestamp, u64, Timer)>,
     pub(super) observations: Observations,
     pub(super) cold: ColdEndpoints,
-    /// Endpoints that asked for a pause.
+    /// Pauses that endpoints asked for.
     pub(super) backoffs: Arc<Backoffs>,
-    /// Limits that endpoints name.
+    /// Rate limits that endpoints announced.
     pub(super) limits: Arc<KnownLimits>,
-    /// When it is the turn of what was refused a permit.
+    /// Earliest time to ask again for a permit, by endpoint and priority, after a refusal.
     turns: Turns,
-    /// Counts permits that were asked for.
+    /// Number of the last permit that was asked for.
     next_permit: u64,
     ramps: Ramps,
     pub(super) experience: Experience,
     pub(super) fetches: Fetches,
     pub(super) stopping: Option<Stopping>,
-    /// When a stopping process last looked at what waits for its stages.
+    /// When a stopping process last checked the requests that wait for their stages.
     pub(super) stages_looked_at: Timestamp,
-    /// When a stopping process last learnt from what still runs.
+    /// When a stopping process last recorded the durations of running requests.
     pub(super) running_learnt_at: Timestamp,
     pub(super) repeats: Repeats,
     pub(super) processes: usize,
     owners: KnownOwners,
-    /// Cells that refused a job for want of time or room, and until when that holds.
+    /// Cells that recently refused a job for lack of time or capacity, with the end of that state.
     pub(super) short_cells: HashMap<Name, Timestamp>,
-    /// How late this process handles its events.
+    /// Event lag of this process.
     pub(super) lateness: Duration,
-    /// When this process last went on after it had stood still: times that began before are no experience.
+    /// When this process last resumed after a suspension; earlier starting times give no durations.
     pub(super) resumed_at: Timestamp,
-    /// Other gateways that told that they are late.
+    /// Event lag that other gateways reported.
     pub(super) late_owners: HashMap<SocketAddr, patience::Told>,
-    /// Contents under which endpoints crashed.
+    /// Fingerprints of requests under which endpoints crashed.
     pub(super) suspects: Arc<Suspects>,
     pub(super) next_attempt: u64,
-    /// Jobs to be submitted once the members are at hand.
+    /// Callers whose stages are submitted by the next call of [`Self::actions`].
     pub(super) to_submit: Vec<u64>,
-    /// Jobs to be submitted once more to the owner that has them.
+    /// Callers whose jobs are submitted again, to the same owner.
     pub(super) to_submit_again: Vec<u64>,
     pub(super) out: Vec<Action>,
 }
 
 impl Requests {
-    /// None yet.
+    /// Creates an empty set of requests.
     pub fn new(own: SocketAddr, incarnation: u64, data_centre: Name, bounds: Bounds) -> Self {
         Self {
             own,
@@ -163,12 +164,12 @@
         }
     }
 
-    /// Requests that have no final answer yet, or whose stream is open.
+    /// Number of requests without a final answer or with an open stream.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// The callers of some requests, always in the same order: schedules and incidents are played again.
+    /// The callers of all matching requests, in an order that makes replays deterministic.
     pub(super) fn callers_where(&self, which: impl Fn(&Request) -> bool) -> Vec<u64> {
         let found = self.requests.iter().filter(|(_, request)| which(request));
         let mut callers: Vec<u64> = found.map(|(caller, _)| *caller).collect();
@@ -176,22 +177,22 @@
         callers
     }
 
-    /// Streams that are being passed on.
+    /// Number of streams that are being forwarded.
     pub fn streams(&self) -> usize {
         self.requests.values().filter(|r| r.phase == Phase::Streaming).count()
     }
 
-    /// Whether there are none.
+    /// Whether no request is open.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// When [`Self::look`] is due.
+    /// When [`Self::look`] is due next.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         self.timers.first().map(|(at, _, _)| *at)
     }
 
-    /// Takes what must be done.
+    /// Submits the pending stages and takes all actions, with jitter added to retry delays.
     pub fn actions(
         &mut self,
         members: &Members,
@@ -216,7 +217,7 @@
         actions
     }
 
-    /// A caller asks; its request `arrived` now or, where it waited for a configuration, before.
+    /// Handles a new request. `arrived` lies in the past if the request waited for a configuration.
     pub fn submit(
         &mut self,
         caller: u64,
@@ -311,7 +312,7 @@
         self.refuse_with(caller, id, reason, retry_after);
     }
 
-    /// Refuses a request that was not begun.
+    /// Refuses a request that has no entry in `requests` yet.
     fn refuse_with(&mut self, caller: u64, id: &Name, reason: Refused, retry_after: Duration) {
         self.out.push(Action::Log(LogEvent::Ended {
             request: id.clone(),
@@ -324,15 +325,15 @@
         self.out.push(Action::Refuse { caller, refusal });
     }
 
-    /// The caller went away: everything of its request stops.
+    /// The caller disconnected: cancels its request.
     pub fn caller_gone(&mut self, caller: u64, now: Timestamp) {
         self.learn(caller, false, now);
         self.hang_up(caller);
         self.out.push(Action::AbortStream { caller });
-        self.end(caller, "caller gone", None, now);
+        self.end(caller, "caller disconnected", None, now);
     }
 
-    /// Looks at what is due.
+    /// Runs all timers that are due.
     pub fn look(&mut self, table: &Table, now: Timestamp) {
         self.give_up_in_stages(now);
         while let Some((at, caller, timer)) = self.timers.first().copied() {
@@ -349,8 +350,7 @@
         }
     }
 
-    /// This process stood still until now: what became due meanwhile is looked at once the answers are read that
-    /// came meanwhile.
+    /// The process was suspended until now: defers the timers that are due by [`READ_FIRST`].
     pub fn on_suspension(&mut self, now: Timestamp) {
         self.resumed_at = now;
         let later = self.timers.split_off(&(now, 0, Timer::Deadline));
@@ -358,7 +358,7 @@
         self.timers.extend(due.map(|(_, caller, timer)| (now + READ_FIRST, caller, timer)));
     }
 
-    /// How long something took that began at a time, if this process could hear of its end all the while.
+    /// Time since `since`, or `None` if the process was suspended within that time.
     pub(super) fn took(&self, since: Timestamp, now: Timestamp) -> Option<Duration> {
         (since >= self.resumed_at).then(|| now.saturating_sub(since))
     }
@@ -378,10 +378,10 @@
     pub(super) fn abort(&mut self, caller: u64, why: &str, now: Timestamp) {
         self.hang_up(caller);
         self.out.push(Action::AbortStream { caller });
-        self.end(caller, &format!("broken off: {why}"), None, now);
+        self.end(caller, &format!("aborted: {why}"), None, now);
     }
 
-    /// Gives a request up, at once.
+    /// Ends a request with a refusal; aborts it if its answer is already being streamed.
     pub(super) fn refuse(
         &mut self,
         caller: u64,
@@ -393,7 +393,7 @@
             return;
         };
         if request.phase == Phase::Streaming {
-            return self.abort(caller, "can't go on", now);
+            return self.abort(caller, "refused while streaming", now);
         }
         let in_doubt = request.may_have_run > 0 || request.attempt.is_some();
         self.hang_up(caller);
@@ -437,7 +437,7 @@
         }));
     }
 
-    /// Tells the owner that nobody needs the results of a request's stages any more.
+    /// Tells the owners that the results of a request's stages are not needed any more.
     pub(super) fn release(&mut self, caller: u64) {
         let Some(request) = self.requests.get_mut(&caller) else {
             return;
@@ -453,7 +453,7 @@
     }
 }
 
-/// Callers that are refused together come back apart; how far at most.
+/// Upper bound of the jitter that keeps callers refused together from retrying together.
 const fn longest_spread(reason: &Refused) -> Duration {
     match reason {
         Refused::AllPaused | Refused::AllLimited | Refused::NoEndpoint => PAUSE_SPREAD,
@@ -463,7 +463,7 @@
 
 type Admissible<'a> = (&'a Route, Option<&'a Organisation>);
 
-/// Checks a request against what is published; nothing of a refused one has run.
+/// Finds route and organisation of a request, or the reason to refuse it before anything runs.
 fn admissible<'a>(
     incoming: &IncomingRequest,
     table: &'a Table,
@@ -484,7 +484,7 @@
     Ok((route, organisation))
 }
 
-/// The pool of a request among the weighted targets of its route.
+/// Selects the pool of a request from the weighted targets of its route by a hash of its id.
 fn target(route: &Route, id: &str) -> Name {
     let total: u64 = route.targets.iter().map(|t| u64::from(t.weight)).sum();
     let mut left = xxh3_64(id.as_bytes()) % total.max(1);
--- a/src/direct/requests/owners.rs
+++ b/src/direct/requests/owners.rs
@@ -1,4 +1,4 @@
-//! Which cell makes a request's stages, and who owns it.
+//! Selection of the cell that runs a request's stages, and of the cell's owner.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,13 +15,15 @@
 use crate::direct::requests::stages::MAX_OWNERS;
 use crate::message::Timestamp;
 
-/// Cells that one request's stages are submitted to at most: the own one, and one with more room.
+/// Maximum number of cells that the stages of a request are submitted to: the preferred one and one
+/// alternative.
 const MAX_CELLS: usize = 2;
-/// A cell that refused is taken to refuse for so long: a call ends in it every few milliseconds.
+/// Maximum time for which a cell counts as refusing. Calls end there every few milliseconds, which
+/// frees capacity.
 const SHORT: Duration = Duration::from_millis(100);
 
-/// The owners of all cells and those that come after them, ranked once for each change of the members or
-/// the cells, not for each request.
+/// The owners of all cells and their successors. Ranked once for each change of the members or
+/// cells rather than for each request.
 #[derive(Debug, Default)]
 pub(super) struct KnownOwners {
     changes: Option<u64>,
@@ -30,7 +32,7 @@
 }
 
 impl KnownOwners {
-    /// Ranks anew if something changed.
+    /// Updates the ranking if members or cells changed.
     pub(super) fn learn(&mut self, members: &Members, table: &Table) {
         let changes = Some(members.changes());
         if self.changes == changes && self.cells == *table.cells() {
@@ -42,7 +44,7 @@
         self.ranked = members.owners(&names, MAX_OWNERS + 1);
     }
 
-    /// The first owner of a cell that was not passed over.
+    /// The first owner of a cell that is not among the skipped ones.
     pub(super) fn of_cell(&self, cell: &str, passed_over: &[SocketAddr]) -> Option<Member> {
         let ranked = self.ranked.get(cell)?;
         ranked.iter().find(|o| !passed_over.contains(&o.address)).cloned()
@@ -50,8 +52,8 @@
 }
 
 impl Requests {
-    /// The cell for the stages of a request that will run in `data_centre`, where their results are
-    /// fetched to: that of the data centre, unless the request went to another one.
+    /// The cell for the stages of a request that will run in `data_centre`, where their results
+    /// will be fetched: that of the data centre, unless the request was moved to another cell.
     pub(super) fn cell_for(&mut self, caller: u64, data_centre: &str, table: &Table) -> Name {
         let own = table.cells().of_data_centre(data_centre);
         let Some(request) = self.requests.get_mut(&caller) else {
@@ -65,8 +67,8 @@
         own
     }
 
-    /// A cell that a request was not submitted to and that has not refused lately; another one for
-    /// each request, so that all that one cell refuses don't meet in the next.
+    /// A cell that the request was not submitted to and that has not refused recently. A hash of
+    /// the request's id spreads the requests that one cell refuses over the other cells.
     fn other_cell(
         &self,
         request: &str,
@@ -81,7 +83,8 @@
         others.get(index as usize).map(|cell| (*cell).clone())
     }
 
-    /// Has a job that its cell refused, untouched, submitted to another one; says whether there is one.
+    /// Selects another cell for a job that its cell refused without starting it. Returns whether
+    /// there is one.
     pub(super) fn goes_to_another_cell(
         &mut self,
         caller: u64,
--- a/src/direct/requests/patience.rs
+++ b/src/direct/requests/patience.rs
@@ -1,9 +1,9 @@
-//! What a gateway that is short of time, or whose owner is, does with callers' requests.
+//! Behaviour when this process or the owner of a request's stages is overloaded.
 //!
-//! The pattern: a burst, on a host whose processor is spent. Each event waits, an answer that is there
-//! goes out late, and whoever is not served comes back. An owner that is only busy must not be taken for
-//! gone, or its stages are made once more elsewhere; and nobody may be held beyond the time for which their
-//! operator allows it.
+//! Typically a burst exhausts the processor of a host: each event waits, completed answers are
+//! delivered late, and refused callers retry. An owner that is only busy must not count as failed,
+//! because its stages would then run a second time elsewhere. No caller may be held longer than the
+//! configured timeout.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,29 +15,32 @@
 use crate::direct::requests::request::Request;
 use crate::message::Timestamp;
 
-/// Events between a request and its answer in this process: its call and what came of it.
+/// Number of events that this process handles between a request and its answer: the call and its
+/// result.
 const EVENTS: u32 = 2;
-/// And with stages: their submission, the owner's answer, the last results.
+/// Additional events of a request with stages: submission, the owner's decision, the last results.
 const EVENTS_OF_STAGES: u32 = 3;
-/// A decision of an owner takes two of its events, and messages wait before they are read.
+/// Multiple of the event lag that an owner's decision may take: it involves two events, and
+/// messages wait to be read.
 const OWNER_EVENTS: u32 = 3;
-/// What an owner told of its lateness holds for so long; it tells five times a second.
+/// How long a reported event lag is used; gateways report it five times a second.
 const TOLD_KEPT: Duration = Duration::from_secs(1);
-/// An owner is waited for so long at most: dead ones are found in that time without it.
+/// Maximum timeout extension for an owner: within that time failed owners are detected by other
+/// means.
 const LONGEST_PATIENCE: Duration = Duration::from_millis(1_200);
-/// When to come back to a process that is short of time, at the earliest.
+/// Minimum delay after which callers should retry at an overloaded process.
 const SHORTEST_RETRY: Duration = Duration::from_millis(150);
 
-/// How late an owner was when it told, and when that was.
+/// Event lag that a gateway reported, and when.
 pub(super) type Told = (Duration, Timestamp);
 
 impl Requests {
-    /// How late this process handles its events.
+    /// Sets the event lag of this process.
     pub fn set_lateness(&mut self, lateness: Duration) {
         self.lateness = lateness;
     }
 
-    /// Another gateway told how late it handles its events.
+    /// Another gateway reported its event lag.
     pub fn told_lateness(&mut self, gateway: SocketAddr, lateness: Duration, now: Timestamp) {
         if lateness < SHORT {
             self.late_owners.remove(&gateway);
@@ -46,15 +49,16 @@
         }
     }
 
-    /// How much longer than usual an owner's decision may take.
+    /// Additional time for an owner's decision, by its event lag and that of this process.
     pub(super) fn patience_with(&self, owner: SocketAddr, now: Timestamp) -> Duration {
         let told = self.late_owners.get(&owner).filter(|(_, at)| now < *at + TOLD_KEPT);
         let told = told.map_or(Duration::ZERO, |(late, _)| *late * OWNER_EVENTS);
         (told + self.lateness).min(LONGEST_PATIENCE)
     }
 
-    /// When to come back if a new request could not be answered before its time is over, by how late
-    /// this process is; it is refused then while nothing of it has run, instead of being held in vain.
+    /// If the event lag is too high to answer a new request before its deadline, the delay after
+    /// which its caller should retry. Such a request is refused before it runs, rather than held
+    /// until it times out.
     pub(super) fn too_late_for(&self, request: &Request, now: Timestamp) -> Option<Duration> {
         if self.lateness < SHORT {
             return None;
@@ -68,7 +72,7 @@
         (answered > request.deadline).then(|| (self.lateness * EVENTS).max(SHORTEST_RETRY))
     }
 
-    /// Refuses a request that came too late to be answered.
+    /// Refuses a new request that can't be answered in time because this process is overloaded.
     pub(super) fn refuse_too_late(&mut self, caller: u64, request: &Request, retry: Duration) {
         self.refuse_with(caller, &request.incoming.id, Refused::Overloaded, retry);
     }
--- a/src/direct/requests/permits.rs
+++ b/src/direct/requests/permits.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a permit, since the endpoint that was chosen for them named a limit.
+//! Requests that wait for a permit, because the endpoint selected for them has a rate limit.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,33 +13,33 @@
 use crate::direct::requests::{RETRY_SOON, Requests};
 use crate::message::Timestamp;
 
-/// Where all endpoints have limits, a request waits for its turn for so much of the time that it has left: the rest is
-/// for its run.
+/// Share of a request's remaining time that it may wait for a permit if all its endpoints have rate
+/// limits. The rest is reserved for its run.
 const TIME_TO_WAIT: f64 = 0.5;
-/// Permits that are asked for one request at most.
+/// Maximum number of permits asked for one request.
 const MOST_ASKED: u32 = 8;
 
 /// A permit that a request waits for.
 #[derive(Debug, Clone)]
 pub struct Awaited {
-    /// Its number among all that this gateway's requests wanted.
+    /// Number of the permit, unique among all that this gateway's requests asked for.
     pub number: u64,
-    /// Why its endpoint was chosen.
+    /// Why the endpoint was selected.
     because: &'static str,
-    /// Among how many.
+    /// Number of endpoints that were available for the selection.
     candidates: usize,
     endpoint: Arc<Endpoint>,
 }
 
 impl Request {
-    /// How long it may wait for its turn at an endpoint.
+    /// Maximum time to wait for a permit.
     pub(super) fn time_to_wait(&self, now: Timestamp) -> Duration {
         self.deadline.saturating_sub(now).mul_f64(TIME_TO_WAIT)
     }
 }
 
 impl Requests {
-    /// What endpoints name.
+    /// Sets the rate limits that endpoints announced.
     pub fn set_limits(&mut self, limits: &Arc<KnownLimits>) {
         self.limits = limits.clone();
     }
@@ -49,7 +49,7 @@
         self.requests.get(&caller).map(|request| request.incoming.id.clone())
     }
 
-    /// Asks for a permit; the request goes on once that is decided.
+    /// Asks for a permit. The request continues with the decision.
     pub(super) fn await_permit(&mut self, caller: u64, choice: Choice, now: Timestamp) {
         let Choice { endpoint, because, candidates, wait } = choice;
         let Some(request) = self.requests.get_mut(&caller) else {
@@ -71,7 +71,8 @@
         self.requests.get_mut(&caller)?.permit.take_if(|awaited| awaited.number == number)
     }
 
-    /// A permit was given that holds until a time. What became known of the endpoint meanwhile holds.
+    /// A permit was granted that is valid until `until`. Checks again whether the request and the
+    /// endpoint are still suitable.
     pub fn permit_given(
         &mut self,
         caller: u64,
@@ -94,7 +95,7 @@
         self.send(caller, choice, Some(until), table, now);
     }
 
-    /// Whether an endpoint still takes a request, but for its limit.
+    /// Whether an endpoint is still available to a request, regardless of its rate limit.
     fn is_as_chosen(
         &self,
         caller: u64,
@@ -109,7 +110,7 @@
         is_there && self.closed_to_all(endpoint, bears, now).is_none()
     }
 
-    /// A permit was refused: it would be the turn of what is as urgent at a time.
+    /// A permit was refused. Requests of the same priority can expect one at `turn`.
     pub fn permit_refused(
         &mut self,
         (caller, number): (u64, u64),
--- a/src/direct/requests/poison.rs
+++ b/src/direct/requests/poison.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the endpoints which run them: refused as soon as that is known, wherever they stand.
+//! Refusal of requests that crash the endpoints which run them, in every phase.
 
 use std::sync::Arc;
 
@@ -11,17 +11,18 @@
 use crate::message::Timestamp;
 
 impl Requests {
-    /// What is known of contents under which endpoints crashed.
+    /// Sets the fingerprints of requests under which endpoints crashed.
     pub fn set_suspects(&mut self, suspects: Arc<Suspects>) {
         self.suspects = suspects;
     }
 
-    /// What of a request is refused, itself or one of its stages.
+    /// The quarantined fingerprint of a request or of one of its stages, if there is one.
     pub(super) fn poison_in(&self, request: &Request) -> Option<Fingerprint> {
         self.suspects.poison_in(request.fingerprint, request.route.stages.len())
     }
 
-    /// Refuses a request that was not begun. It is told to come back when it is forgotten: no earlier time helps.
+    /// Refuses a new request as poison. Its caller should retry when the quarantine expires; an
+    /// earlier retry would be refused again.
     pub(super) fn refuse_poison_at_door(
         &mut self,
         caller: u64,
@@ -32,7 +33,7 @@
         self.refuse_with(caller, &request.incoming.id, Refused::Poison, KEPT);
     }
 
-    /// Gives a request up that is known as poison by now; says whether it is.
+    /// Refuses a request if it is quarantined by now; returns whether it is.
     pub(super) fn is_refused_as_poison(&mut self, caller: u64, now: Timestamp) -> bool {
         let part = self.requests.get(&caller).and_then(|request| self.poison_in(request));
         let Some(part) = part else {
@@ -43,8 +44,9 @@
         true
     }
 
-    /// Contents are refused from now on. What waits for its stages or its answer is given up at once: a call that
-    /// its endpoint has not begun leaves the queue there with its connection.
+    /// Fingerprints were quarantined. Refuses matching requests that wait for their stages or an
+    /// answer. Closing the connection also removes calls that the endpoint has queued but not
+    /// started.
     pub fn quarantined(&mut self, quarantined: &[Quarantined], now: Timestamp) {
         if quarantined.is_empty() {
             return;
@@ -54,23 +56,25 @@
         }
     }
 
-    /// A call is about to be sent: it is the next round of whatever endpoints crashed under it before, also in
-    /// this very request, where it may not be proved yet.
+    /// The crash round of a call that is about to be sent: one more than the number of endpoints
+    /// that crashed under the request so far. Includes crashes under this request that may not be
+    /// confirmed yet.
     pub(super) fn next_round(&self, request: &Request) -> u8 {
         let own = if request.may_have_run > 0 { request.round } else { 0 };
         self.suspects.rounds(request.fingerprint).max(own).saturating_add(1)
     }
 
-    /// What places a request by itself that an endpoint may have crashed under: all that were there with it come
-    /// again, the poison among them, and would be led to the same next endpoint by their prompts and by the same
-    /// view of the load. In 200 random schedules 52 innocent requests of some 235,000 were refused without this, and
-    /// 4 with it.
+    /// Placement key of a request under which an endpoint may have crashed; isolates it from other
+    /// requests. Without it all requests of the crashed endpoint, including the poison request,
+    /// would move to the same next endpoint, since they share prompt prefixes and the same view of
+    /// the load. In 200 random schedules 52 innocent requests of some 235,000 were refused without
+    /// this, and 4 with it.
     pub(super) fn set_apart(&self, request: &Request) -> Option<String> {
         let is_apart = request.may_have_run > 0 || self.suspects.knows(request.fingerprint);
         is_apart.then(|| request.fingerprint.to_string())
     }
 
-    /// A call was not answered.
+    /// A call ended without a response.
     pub(super) fn report_unanswered(&mut self, caller: u64, attempt: &Attempt, how: Unanswered) {
         let Some(request) = self.requests.get(&caller) else {
             return;
@@ -84,7 +88,7 @@
         }));
     }
 
-    /// Gives up the call that is open, if there is one.
+    /// Cancels the open call, if there is one.
     pub(super) fn hang_up(&mut self, caller: u64) {
         if let Some(attempt) = self.close_attempt(caller) {
             self.out.push(Action::CancelAttempt { caller, attempt: attempt.number });
@@ -92,7 +96,7 @@
         }
     }
 
-    /// A request ran to its end.
+    /// A request was answered.
     pub(super) fn report_success(&mut self, caller: u64) {
         if let Some(request) = self.requests.get(&caller) {
             self.out.push(Action::PoisonReport(Report::Succeeded(request.fingerprint)));
--- a/src/direct/requests/ramp.rs
+++ b/src/direct/requests/ramp.rs
@@ -1,27 +1,27 @@
-//! Endpoints that asked for a pause are filled again by degrees.
+//! Gradual refill of endpoints after a pause.
 //!
-//! When its pause is over an endpoint looks idle, and all that belongs there by its shared part waits to go back at
-//! once, from every gateway. So the first request goes alone, and each one that is answered makes way for twice as
-//! many, until all its slots may be filled.
+//! At the end of its pause an endpoint looks idle, and all gateways would send it the requests that
+//! belong there by their prompt prefix at once. Therefore one request is sent first, and each
+//! answered one doubles the number allowed, up to all slots of the endpoint.
 
 use std::collections::HashMap;
 
 use crate::direct::published::model::{Endpoint, Name};
 use crate::message::Timestamp;
 
-/// How far an endpoint is filled again.
+/// Refill state of one incarnation of an endpoint.
 #[derive(Debug, Clone, Copy)]
 struct Ramp {
     incarnation: u64,
     /// The end of the pause.
     since: Timestamp,
-    /// Requests that may be there at once, of those that were sent since.
+    /// Maximum number of concurrent requests among those sent since the end of the pause.
     allowed: u32,
-    /// And are.
+    /// Current number of these requests.
     in_flight: u32,
 }
 
-/// The endpoints that one gateway fills by degrees.
+/// The endpoints that one gateway is refilling.
 #[derive(Debug, Default)]
 pub(super) struct Ramps {
     endpoints: HashMap<Name, Ramp>,
@@ -33,7 +33,7 @@
         (ramp.incarnation == endpoint.incarnation).then_some(ramp)
     }
 
-    /// An endpoint gets nothing until a time, and is filled by degrees from then on.
+    /// An endpoint is paused until `since` and refilled gradually after that.
     pub(super) fn begin(&mut self, endpoint: &Endpoint, since: Timestamp) {
         let incarnation = endpoint.incarnation;
         let ramp = Ramp { incarnation, since, allowed: 1, in_flight: 0 };
@@ -47,14 +47,14 @@
         }
     }
 
-    /// A request that was sent at a time ended.
+    /// A request that was sent at `sent` ended.
     pub(super) fn ended(&mut self, endpoint: &Endpoint, sent: Timestamp) {
         if let Some(ramp) = self.get_mut(endpoint) {
             ramp.in_flight = ramp.in_flight.saturating_sub(u32::from(sent >= ramp.since));
         }
     }
 
-    /// A request that was sent at a time was answered well.
+    /// A request that was sent at `sent` was answered without a server error.
     pub(super) fn answered(&mut self, endpoint: &Endpoint, sent: Timestamp) {
         let Some(ramp) = self.get_mut(endpoint).filter(|ramp| sent >= ramp.since) else {
             return;
@@ -65,14 +65,14 @@
         }
     }
 
-    /// Whether an endpoint has as much as it gets for now.
+    /// Whether an endpoint has as many requests as currently allowed.
     pub(super) fn is_full(&self, endpoint: &Endpoint) -> bool {
         let ramp = self.endpoints.get(&endpoint.id);
         let ramp = ramp.filter(|ramp| ramp.incarnation == endpoint.incarnation);
         ramp.is_some_and(|ramp| ramp.in_flight >= ramp.allowed)
     }
 
-    /// Forgets endpoints that are not listed any more.
+    /// Removes endpoints that are not listed any more.
     pub(super) fn retain(&mut self, listed: impl Fn(&str) -> bool) {
         self.endpoints.retain(|id, _| listed(id));
     }
--- a/src/direct/requests/request.rs
+++ b/src/direct/requests/request.rs
@@ -1,4 +1,4 @@
-//! The state of one caller's request in a gateway.
+//! State of one caller's request in a gateway.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,155 +12,156 @@
 use crate::direct::requests::permits::Awaited;
 use crate::message::Timestamp;
 
-/// Time to the first event besides reading the prompt, before any was measured.
+/// Initial estimate of the time to the first event, excluding the time to read the prompt.
 const START_TIME: Duration = Duration::from_millis(80);
-/// Time to read one token of a prompt at a busy engine.
+/// Estimated time that a busy engine needs to read one prompt token.
 const TOKEN_TIME: Duration = Duration::from_micros(30);
 
-/// Tokens of a prompt that take as long to read as one token to make.
+/// Number of prompt tokens that take as long to read as one output token takes to generate.
 const PROMPT_TOKENS: u64 = 200;
 
-/// Where a request stands.
+/// Phase of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Phase {
-    /// Its stages are with an owner.
+    /// The stages are with an owner.
     Stages {
-        /// The owner.
+        /// Address of the owner.
         owner: SocketAddr,
-        /// The owner's life.
+        /// Incarnation of the owner.
         incarnation: u64,
-        /// When they were submitted.
+        /// When the stages were submitted.
         submitted: Timestamp,
-        /// Whether the owner has begun them.
+        /// Whether the owner has started the stages.
         accepted: bool,
     },
-    /// It runs, or is about to.
+    /// The request runs at an endpoint, or waits to be sent to one.
     Running,
-    /// Its answer is a stream that is being passed on.
+    /// The response is a stream that is being forwarded.
     Streaming,
 }
 
-/// One call for a request.
+/// One call to an endpoint for a request.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// Counts all attempts of the gateway.
+    /// Number of the attempt, unique within the gateway's process.
     pub number: u64,
-    /// Where.
+    /// Endpoint of the call.
     pub endpoint: Arc<Endpoint>,
-    /// When it was ordered.
+    /// When the call was ordered from the shell.
     pub ordered: Timestamp,
-    /// When it went out over a connection that was up, if it needs results.
+    /// When the call was sent over an established connection; set only for calls that need results.
     pub sent: Option<Timestamp>,
 }
 
-/// One request.
+/// A caller's request.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// What was asked.
+    /// The request as received.
     pub incoming: IncomingRequest,
-    /// Its route, as it stood when the request came.
+    /// Its route, as configured when the request arrived.
     pub route: Route,
-    /// The pool that runs it.
+    /// The pool that runs the request.
     pub pool: Name,
-    /// Who asks.
+    /// Organisation of the caller.
     pub organisation: Option<Name>,
-    /// What it holds and who asks.
+    /// Fingerprint of the request's content and organisation.
     pub fingerprint: Fingerprint,
-    /// Where it may run.
+    /// Regions where the request may run.
     pub homes: Homes,
-    /// 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// When it came.
+    /// When the request arrived.
     pub arrived: Timestamp,
-    /// When the caller or the operator stops waiting.
+    /// When the caller or the route's timeout ends the wait for an answer.
     pub deadline: Timestamp,
-    /// Its stages at their owner.
+    /// Id under which the stages are submitted to their owner.
     pub job: JobId,
-    /// Where it stands.
+    /// Current phase.
     pub phase: Phase,
     /// Results by stage.
     pub results: Vec<Vec<Made>>,
-    /// The owner of its stages, also after they are done.
+    /// The last owner of the stages, also after they are done.
     pub owner: Option<SocketAddr>,
-    /// Cells that its stages were submitted to, the last one last.
+    /// Cells that the stages were submitted to, in order.
     pub cells: Vec<Name>,
-    /// Owners that were asked and did not take it.
+    /// Owners that were asked and did not complete the stages.
     pub passed_over: Vec<SocketAddr>,
     /// The open call.
     pub attempt: Option<Attempt>,
-    /// The permit that it waits for.
+    /// The permit that the request waits for.
     pub permit: Option<Awaited>,
-    /// Permits that were asked for it.
+    /// Number of permits that were asked for.
     pub permits_asked: u32,
-    /// Calls that were sent.
+    /// Number of calls that were ordered.
     pub sends: u32,
-    /// Calls after which it may have run.
+    /// Number of calls that failed and may have run.
     pub may_have_run: u32,
-    /// What its last call knew of endpoints that crashed under it; see [`crate::direct::poison::Run`].
+    /// Crash round of the last call; see [`crate::direct::poison::Run`].
     pub round: u8,
-    /// Endpoints that it was sent to.
+    /// Endpoints that the request was sent to.
     pub tried: Vec<Name>,
-    /// The last event that was passed on.
+    /// Id of the last stream event that was forwarded.
     pub last_event: Option<String>,
-    /// Whether its stages hold results at an owner.
+    /// Whether owners hold results of the stages for this request.
     pub holds_results: bool,
 }
 
 impl Request {
-    /// Whether it has stages with pieces.
+    /// Whether the request has stages with pieces.
     pub fn has_stages(&self) -> bool {
         !self.route.stages.is_empty() && self.incoming.has_pieces()
     }
 
-    /// Whether its stages were made and their results are freed.
+    /// Whether the stages were submitted and their results have been freed since.
     pub fn lacks_results(&self) -> bool {
         self.has_stages() && !self.holds_results
     }
 
-    /// Whether its stages are with this owner now.
+    /// Whether the stages are with this owner now.
     pub fn is_with(&self, address: SocketAddr) -> bool {
         matches!(self.phase, Phase::Stages { owner, .. } if owner == address)
     }
 
-    /// Whether it may run again after it may have run.
+    /// Whether the request may be sent again after a call that may have run.
     pub fn may_repeat(&self) -> bool {
         self.route.repeat == Repeat::Idempotent || self.route.streams && self.route.resumable
     }
 
-    /// The last part of the prompt that other requests share, or the whole of what is known.
+    /// The last part of the prompt that other requests share: the last but one, or the only one.
     pub fn shared_part(&self) -> Option<&str> {
         let parts = &self.incoming.generation.as_ref()?.parts;
         let shared = if parts.len() > 1 { &parts[parts.len() - 2] } else { parts.last()? };
         Some(&shared.0)
     }
 
-    /// Expected time from handing it to an engine to its first event.
+    /// Expected time from the call of an engine to the first event.
     pub fn expected_start(&self) -> Duration {
         let generation = self.incoming.generation.as_ref();
         let own = generation.and_then(|g| g.parts.last()).map_or(0, |p| p.1);
         START_TIME + TOKEN_TIME * u32::try_from(own).unwrap_or(u32::MAX)
     }
 
-    /// What the length of its run goes by: the tokens that it may make, and the prompt in such.
+    /// Expected length of the run: the maximum of output tokens plus the prompt, converted to
+    /// output tokens.
     pub fn size(&self) -> u64 {
         let generation = self.incoming.generation.as_ref();
         generation.map_or(1, |g| g.output_tokens.max(1) + g.prompt_tokens / PROMPT_TOKENS)
     }
 
-    /// The results that its run needs, in order.
+    /// The results that the run needs, in order.
     pub fn inputs(&self) -> Vec<Made> {
         let last = self.route.last_stages();
         last.flat_map(|s| self.results.get(s).cloned().unwrap_or_default()).collect()
     }
 
-    /// Whether the results of every last stage are there.
+    /// Whether the results of all last stages are complete.
     pub fn has_all_results(&self) -> bool {
         let pieces = |stage: usize| self.incoming.pieces.get(stage).copied().unwrap_or_default();
         let results = |stage: usize| self.results.get(stage).map_or(0, Vec::len);
         self.route.last_stages().all(|stage| results(stage) == pieces(stage))
     }
 
-    /// When a silent call is given up, where it may be made again.
+    /// Time without a response after which a repeatable call counts as silent.
     pub fn patience(&self) -> Duration {
         if self.route.streams {
             self.route.objective.mul_f64(1.2)
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Gateways that may hold results for it: the owner of its stages, and those passed over.
+    /// Gateways that may hold results for the request: skipped owners and the current one.
     pub fn owners(&self) -> Vec<SocketAddr> {
         let mut owners = self.passed_over.clone();
         owners.extend(self.owner);
--- a/src/direct/requests/stages.rs
+++ b/src/direct/requests/stages.rs
@@ -1,4 +1,4 @@
-//! A request's stages at their owner: submitted, followed, and handed to the next owner if one is lost.
+//! Stages of requests: submission to their owner, progress, and failover to the next owner.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,21 +15,22 @@
 use crate::direct::requests::{RETRY_SOON, Requests, Timer};
 use crate::message::Timestamp;
 
-/// An owner that has not decided on stages after so long is passed over.
+/// Time after which an owner that has not decided on stages is skipped.
 const OWNER_PATIENCE: Duration = Duration::from_millis(250);
-/// A timer that is so late says that this process stood still: answers may wait to be read.
+/// Lateness of a timer from which on the process is assumed to have been suspended, so that answers
+/// may still wait to be read.
 const STOOD_STILL: Duration = Duration::from_millis(40);
-/// Owners that are asked at most.
+/// Maximum number of owners that are asked.
 pub(super) const MAX_OWNERS: usize = 3;
 
-/// Why an owner gave a job up.
+/// Why an owner abandoned a job.
 #[derive(Debug, Clone, Copy)]
 pub struct GivenUp {
-    /// The reason.
+    /// Reason for abandoning the job.
     pub reason: JobReason,
-    /// Whether nothing of it was begun.
+    /// Whether no part of the job was started.
     pub untouched: bool,
-    /// When to come back.
+    /// Delay after which the caller should retry.
     pub retry_after: Duration,
 }
 
@@ -44,11 +45,11 @@
         let Some(request) = self.requests.get(&caller) else {
             return;
         };
-        // The results go where the run will be, as far as can be told now; what has no place to run is
-        // refused before anything is made for it.
+        // Results are sent to where the request will probably run. A request without a suitable
+        // endpoint is refused before its stages run.
         let place = match self.choose(request, table, now) {
             Ok(choice) => choice.endpoint.data_centre.clone(),
-            // Its pause is over, or it is its turn, before anything could be made for the request.
+            // The endpoint becomes available before the shortest possible run of the stages ends.
             Err(NoPlace::AllPaused { for_at_least } | NoPlace::AllLimited { for_at_least })
                 if for_at_least < shortest_stages(request, table) =>
             {
@@ -93,13 +94,13 @@
         self.out.push(Action::Send { to: owner.address, message });
     }
 
-    /// What was on the way to or from this owner may be lost: the jobs that it has are submitted
-    /// again, and it tells how they stand.
+    /// Messages to or from this owner may be lost: submits the jobs that it has again, and it
+    /// answers with their state.
     pub fn submit_again(&mut self, owner: SocketAddr) {
         self.to_submit_again.extend(self.callers_where(|r| r.is_with(owner)));
     }
 
-    /// Submits a job once more to the owner that has it.
+    /// Submits a job again to the owner that has it.
     pub(super) fn resubmit(&mut self, caller: u64, now: Timestamp) {
         let data_centre = self.data_centre.clone();
         let Some(request) = self.requests.get(&caller) else {
@@ -113,7 +114,7 @@
         self.out.push(Action::Send { to: owner, message });
     }
 
-    /// The request of a job, if this owner is the one that has it now.
+    /// The request of a job, if this owner is its current one.
     pub(super) fn job(&mut self, job: JobId, from: SocketAddr) -> Option<(u64, &mut Request)> {
         let caller = *self.by_job.get(&job)?;
         let request = self.requests.get_mut(&caller)?;
@@ -121,7 +122,7 @@
         is_owner.then_some((caller, request))
     }
 
-    /// An owner has begun a job.
+    /// An owner has started a job.
     pub fn accepted(&mut self, job: JobId, from: SocketAddr) {
         if let Some((_, request)) = self.job(job, from) {
             if let Phase::Stages { accepted, .. } = &mut request.phase {
@@ -147,7 +148,7 @@
             return;
         };
         if !request.has_all_results() {
-            // A message was lost on the way: the next owner goes on with what is there.
+            // A message was lost; the next owner continues with the results received so far.
             self.out.push(Action::Send { to: from, message: PeerMessage::Release(job) });
             return self.pass_over(caller, from);
         }
@@ -159,7 +160,7 @@
         self.dispatch(caller, table, now);
     }
 
-    /// An owner gave a job up.
+    /// An owner abandoned a job.
     pub fn given_up(
         &mut self,
         job: JobId,
@@ -199,7 +200,7 @@
         }
     }
 
-    /// An owner is gone: what it had goes to another one.
+    /// An owner failed: its jobs are submitted to other owners.
     pub fn owner_lost(&mut self, address: SocketAddr, lost: u64) {
         self.late_owners.remove(&address);
         let with_owner = self.callers_where(|r| {
@@ -214,7 +215,7 @@
         }
     }
 
-    /// A decision was due at `at`.
+    /// The owner's decision was due at `at`.
     pub(super) fn owner_silent(&mut self, caller: u64, asked: u32, at: Timestamp, now: Timestamp) {
         let Some(request) = self.requests.get(&caller) else {
             return;
@@ -227,7 +228,7 @@
         }
         let until = submitted + OWNER_PATIENCE + self.patience_with(owner, now);
         if now < until {
-            // It is busy, not gone: another owner would make the same once more.
+            // The owner is overloaded, not failed; another owner would run the same stages again.
             self.timers.insert((until, caller, Timer::Owner(asked)));
             return;
         }
@@ -242,7 +243,7 @@
     }
 }
 
-/// The stages of a request take so long at least: the calls on the longest way through their graph.
+/// Minimum duration of a request's stages: the calls on the longest path of the stage graph.
 fn shortest_stages(request: &Request, table: &Table) -> Duration {
     let mut ends: Vec<Duration> = Vec::with_capacity(request.route.stages.len());
     for (stage, spec) in request.route.stages.iter().enumerate() {
--- a/src/direct/requests/stopping.rs
+++ b/src/direct/requests/stopping.rs
@@ -1,4 +1,4 @@
-//! Requests of a process that was told to stop: nothing is begun that can't end before it does.
+//! Requests of a stopping process: nothing is started that can't finish before the process ends.
 
 use std::time::Duration;
 
@@ -11,23 +11,23 @@
 use crate::direct::stop::Stop;
 use crate::message::Timestamp;
 
-/// Between two looks at all requests that wait for their stages.
+/// Interval between checks of the requests that wait for their stages.
 const LOOK: Duration = Duration::from_millis(50);
-/// A stopping process learns this often from what still runs.
+/// Interval at which a stopping process records the durations of running requests.
 const LEARN: Duration = Duration::from_secs(1);
 
-/// What requests go by while the process stops.
+/// State of the stopping process that decisions on requests depend on.
 #[derive(Debug, Clone, Copy)]
 pub struct Stopping {
-    /// When it ends.
+    /// When the process ends.
     pub stop: Stop,
-    /// Whether others serve.
+    /// Whether other gateways serve.
     pub others_serve: bool,
-    /// When refused callers should come back.
+    /// Delay after which refused callers should retry.
     pub come_back_after: Duration,
 }
 
-/// Where a request stands when it is decided whether it can end.
+/// Phase of a request at which it is checked whether it can finish.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum At {
     Door,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// What lies before a request there.
+    /// The span of the request that is still ahead.
     const fn rest(self) -> Part {
         match self {
             Self::Door => Part::Whole,
@@ -54,7 +54,7 @@
 }
 
 impl Requests {
-    /// The process stops; told again whenever something happens.
+    /// The process is stopping; called again with each event to update the state.
     pub fn stopping(&mut self, stopping: Stopping, now: Timestamp) {
         self.stopping = Some(stopping);
         if now >= self.running_learnt_at + LEARN {
@@ -63,20 +63,20 @@
         }
     }
 
-    /// What still runs takes longer than until now: long ones end last, so without this the short ones
-    /// would be all experience.
+    /// Records the durations so far of running requests. Long requests end last; without this only
+    /// short ones would be recorded.
     fn learn_from_running(&mut self, now: Timestamp) {
         for caller in self.callers_where(|_| true) {
             self.learn(caller, false, now);
         }
     }
 
-    /// When to come back to a process that knows too little or stops.
+    /// Delay after which callers refused by an unconfigured or stopping process should retry.
     pub(super) fn elsewhere(&self) -> Duration {
         self.stopping.map_or(crate::direct::requests::RETRY_ELSEWHERE, |s| s.come_back_after)
     }
 
-    /// Whether new requests are looked at.
+    /// Whether new requests are considered.
     pub fn is_open(&self, now: Timestamp) -> bool {
         self.stopping.is_none_or(|s| {
             let is_older = |r: &Request| r.arrived < s.stop.earliest_end();
@@ -85,8 +85,8 @@
         })
     }
 
-    /// Whether the answer of a request will be whole before the process ends: its time is over by
-    /// then, or by experience it takes less.
+    /// Whether the answer of a request will be complete before the process ends, by its deadline or
+    /// the expected duration, with the log event of that decision.
     fn can_end(&self, request: &Request, at: At, now: Timestamp) -> (bool, Option<LogEvent>) {
         let Some(Stopping { stop, others_serve, .. }) = self.stopping else {
             return (true, None);
@@ -95,7 +95,8 @@
         let waits = request.deadline.saturating_sub(now);
         let (route, size) = (&request.route.name, request.size());
         let expected = self.experience.expected(route, at.rest(), size, sure);
-        // What is usual is not known yet in a young process: what a refusal costs is.
+        // A young process has no samples. Where a typical duration would suffice, it accepts,
+        // because a refusal has a certain cost.
         let unknown = if sure == Sure::Usually { Duration::ZERO } else { waits };
         let expected = expected.unwrap_or(unknown) + self.stages_left(request, at, now);
         let expected = expected.min(waits);
@@ -109,7 +110,7 @@
         (taken, event.flatten())
     }
 
-    /// What the stages of a request that waits for them usually still take.
+    /// Typical remaining time of the stages of a request that waits for them.
     fn stages_left(&self, request: &Request, at: At, now: Timestamp) -> Duration {
         if at != At::Stages {
             return Duration::ZERO;
@@ -138,17 +139,18 @@
         })
     }
 
-    /// Whether a new request is taken, as far as the process's own end goes.
+    /// Whether a new request can finish before the process ends.
     pub(super) fn is_taken(&mut self, request: &Request, now: Timestamp) -> bool {
         let (taken, event) = self.can_end(request, At::Door, now);
         self.out.extend(event.map(Action::Log));
         taken
     }
 
-    /// Whether a request may be sent to an endpoint, as far as the process's own end goes; otherwise
-    /// it is given up as not run.
+    /// Whether a request can finish before the process ends if it is sent to an endpoint now;
+    /// otherwise refuses it as not run.
     ///
-    /// That holds for a stream that is to be resumed, too: its caller may resume it elsewhere.
+    /// This includes streams that are to be resumed, because their callers may resume them at
+    /// another gateway.
     pub(super) fn may_be_sent(&mut self, caller: u64, now: Timestamp) -> bool {
         let Some(request) = self.requests.get(&caller) else {
             return false;
@@ -161,13 +163,14 @@
         taken
     }
 
-    /// A request that is turned away unseen.
+    /// Logs that a new request was refused without considering it.
     pub(super) fn note_closed(&mut self, request: &Name, now: Timestamp) {
         let event = self.decided(request, At::Door, false, None, now);
         self.out.extend(event.map(Action::Log));
     }
 
-    /// Whether the stages of a route are made before the process ends, by all experience.
+    /// Whether the stages of a route finish before the process ends, by the longest observed
+    /// duration.
     pub fn stages_can_end(&self, route: &Name, longest: Duration, now: Timestamp) -> bool {
         self.stopping.is_none_or(|s| {
             let expected = self.experience.expected(route, Part::Stages, 1, Sure::Surely);
@@ -175,8 +178,8 @@
         })
     }
 
-    /// Gives up at once what waits for its stages and whose run could not end any more: it has not
-    /// run, and its caller has time to go elsewhere.
+    /// Refuses requests that wait for their stages and can't finish their run any more. They have
+    /// not run, and their callers have time to go to another gateway.
     pub(super) fn give_up_in_stages(&mut self, now: Timestamp) {
         if self.stopping.is_none() || now < self.stages_looked_at + LOOK {
             return;
@@ -192,8 +195,8 @@
         }
     }
 
-    /// The process ends: whatever has no answer gets its refusal, open streams are broken off.
-    /// Returns how many there were of each.
+    /// The process ends: refuses requests without an answer and aborts open streams. Returns the
+    /// number of each.
     pub fn end_all(&mut self, now: Timestamp) -> (usize, usize) {
         let streams = self.streams();
         let callers = self.callers_where(|_| true);
@@ -204,7 +207,7 @@
         (unanswered, streams)
     }
 
-    /// A request's answer is whole, or it takes longer than until now: both are experience.
+    /// Records the duration of a request that is complete, or a lower bound of it if it is not.
     pub(super) fn learn(&mut self, caller: u64, is_whole: bool, now: Timestamp) {
         let Some(request) = self.requests.get(&caller) else {
             return;
