--- a/src/direct/requests/attempts.rs
+++ b/src/direct/requests/attempts.rs
@@ -8,7 +8,7 @@
 use crate::direct::poison::Unanswered;
 use crate::direct::published::model::{Endpoint, Name};
 use crate::direct::published::table::Table;
-use crate::direct::requests::dispatch::TOO_LATE;
+use crate::direct::requests::dispatch::MIN_TIME_LEFT;
 use crate::direct::requests::request::{Attempt, Phase};
 use crate::direct::requests::{RETRY_SOON, Requests, Timer};
 use crate::invariant;
@@ -18,19 +18,19 @@
 /// Maximum number of calls for one request, including refused ones.
 const MAX_SENDS: u32 = 4;
 /// Status by which an endpoint reports that a result it needs as input is gone.
-const RESULTS_GONE: u16 = 409;
+const STATUS_RESULTS_GONE: u16 = 409;
 
 /// Failure of an attempt that may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Failure {
     /// The response proves nothing.
-    WrongAnswer,
+    InvalidResponse,
     /// The endpoint returned a server error.
     ServerError,
     /// The connection failed.
-    Broken,
+    ConnectionFailed,
     /// No response arrived in time.
-    Silent,
+    NoResponse,
     /// The endpoint has been restarted: its entry names another incarnation.
     EndpointRestarted,
 }
@@ -39,10 +39,10 @@
     /// The failure as written to log events.
     const fn as_str(self) -> &'static str {
         match self {
-            Self::WrongAnswer => "invalid response",
+            Self::InvalidResponse => "invalid response",
             Self::ServerError => "server error",
-            Self::Broken => "broken",
-            Self::Silent => "silent",
+            Self::ConnectionFailed => "broken",
+            Self::NoResponse => "silent",
             Self::EndpointRestarted => "endpoint restarted",
         }
     }
@@ -51,15 +51,15 @@
     /// ended.
     const fn unanswered(self) -> Option<Unanswered> {
         match self {
-            Self::WrongAnswer | Self::ServerError => None,
-            Self::Broken => Some(Unanswered::Broken),
-            Self::Silent | Self::EndpointRestarted => Some(Unanswered::Silent),
+            Self::InvalidResponse | Self::ServerError => None,
+            Self::ConnectionFailed => Some(Unanswered::Broken),
+            Self::NoResponse | Self::EndpointRestarted => Some(Unanswered::Silent),
         }
     }
 }
 
 impl Requests {
-    pub(super) fn call(
+    pub(super) fn start_attempt(
         &mut self,
         caller: u64,
         endpoint: Arc<Endpoint>,
@@ -79,11 +79,11 @@
             request: request.incoming.id.to_string(),
             stage: request.route.stages.len(),
         };
-        if !invariant!(request.may_have_run == 0 || request.may_repeat(), violation) {
+        if !invariant!(request.uncertain_attempts == 0 || request.may_repeat(), violation) {
             return;
         }
-        self.next_attempt += 1;
-        let number = self.next_attempt;
+        self.last_attempt += 1;
+        let number = self.last_attempt;
         if request.sends == 0 {
             self.repeats.first(&request.pool, 1, now);
         }
@@ -91,10 +91,10 @@
         request.round = round;
         request.tried.push(endpoint.id.clone());
         request.attempt =
-            Some(Attempt { number, endpoint: endpoint.clone(), ordered: now, sent: None });
-        if request.may_repeat() && request.may_have_run + 1 < request.route.max_attempts {
-            let silence = now + request.patience();
-            self.timers.insert((silence, caller, Timer::Silence(number)));
+            Some(Attempt { number, endpoint: endpoint.clone(), ordered_at: now, sent_at: None });
+        if request.may_repeat() && request.uncertain_attempts + 1 < request.route.max_attempts {
+            let timeout_at = now + request.response_timeout();
+            self.timers.insert((timeout_at, caller, Timer::Response(number)));
         }
         self.observations.sent(&endpoint);
         self.ramps.sent(&endpoint, now);
@@ -114,7 +114,7 @@
         self.out.push(Action::Call { caller, attempt: number, params });
     }
 
-    pub(super) fn is_current(&self, caller: u64, attempt: u64) -> bool {
+    pub(super) fn is_current_attempt(&self, caller: u64, attempt: u64) -> bool {
         let open = self.requests.get(&caller).and_then(|r| r.attempt.as_ref());
         open.is_some_and(|a| a.number == attempt)
     }
@@ -123,7 +123,7 @@
     pub(super) fn close_attempt(&mut self, caller: u64) -> Option<Attempt> {
         let attempt = self.requests.get_mut(&caller)?.attempt.take()?;
         self.observations.ended(&attempt.endpoint);
-        self.ramps.ended(&attempt.endpoint, attempt.ordered);
+        self.ramps.ended(&attempt.endpoint, attempt.ordered_at);
         Some(attempt)
     }
 
@@ -137,7 +137,7 @@
         table: &Table,
         now: Timestamp,
     ) {
-        if !self.is_current(caller, attempt) {
+        if !self.is_current_attempt(caller, attempt) {
             return;
         }
         let Some(request) = self.requests.get_mut(&caller) else {
@@ -153,22 +153,22 @@
             self.observations.reported(&endpoint, running + waiting, now);
         }
         if proof.not_run || proof.from_other_endpoint {
-            return self.not_run(caller, proof, table, now);
+            return self.attempt_not_run(caller, proof, table, now);
         }
         let is_success = (200..300).contains(&proof.status);
-        let is_whole = proof.names_request && (proof.signed || !is_success);
-        if !is_whole {
-            return self.may_have_run(caller, Failure::WrongAnswer, table, now);
+        let is_valid = proof.names_request && (proof.signed || !is_success);
+        if !is_valid {
+            return self.attempt_may_have_run(caller, Failure::InvalidResponse, table, now);
         }
-        if proof.status >= 500 && self.may_try_again(caller, now) {
-            return self.may_have_run(caller, Failure::ServerError, table, now);
+        if proof.status >= 500 && self.may_retry(caller, now) {
+            return self.attempt_may_have_run(caller, Failure::ServerError, table, now);
         }
-        if !is_own_failure(proof.status) {
-            let took = self.took(open.ordered, now);
+        if !is_endpoint_failure(proof.status) {
+            let took = self.elapsed_since(open.ordered_at, now);
             self.observations.answered(&endpoint, took);
-            self.ramps.answered(&endpoint, open.ordered);
+            self.ramps.answered(&endpoint, open.ordered_at);
         } else if self.observations.failed(&endpoint, now) {
-            self.note_avoided(&endpoint.id, "server errors");
+            self.log_avoided(&endpoint.id, "server errors");
         }
         self.out.push(Action::Deliver { caller, attempt });
         if is_open {
@@ -177,7 +177,7 @@
             }
         } else {
             if is_success {
-                self.learn(caller, true, now);
+                self.record_durations(caller, true, now);
             }
             self.report_success(caller);
             self.close_attempt(caller);
@@ -202,17 +202,17 @@
         let Some(open) = request.attempt.as_mut().filter(|a| a.number == attempt) else {
             return;
         };
-        open.sent = Some(now);
-        let kept_for = self.fetches.kept_for(&request.pool);
-        let kept_for = kept_for.filter(|_| self.observations.has_place(&open.endpoint, now));
-        if let Some(kept_for) = kept_for {
-            self.timers.insert((now + kept_for, caller, Timer::Fetched(attempt)));
+        open.sent_at = Some(now);
+        let retention = self.fetch_times.retention(&request.pool);
+        let retention = retention.filter(|_| self.observations.has_free_slot(&open.endpoint, now));
+        if let Some(retention) = retention {
+            self.timers.insert((now + retention, caller, Timer::InputsFetched(attempt)));
         }
     }
 
     /// The endpoint of an attempt has had enough time to fetch its inputs.
-    pub(super) fn fetched(&mut self, caller: u64, attempt: u64) {
-        if self.is_current(caller, attempt) {
+    pub(super) fn inputs_fetched(&mut self, caller: u64, attempt: u64) {
+        if self.is_current_attempt(caller, attempt) {
             self.release(caller);
         }
     }
@@ -220,10 +220,10 @@
     /// The first event of a stream was forwarded, so its endpoint has fetched the inputs.
     pub fn first_event(&mut self, caller: u64, now: Timestamp) {
         if let Some(request) = self.requests.get(&caller)
-            && let Some(sent) = request.attempt.as_ref().and_then(|a| a.sent)
-            && let Some(took) = self.took(sent, now)
+            && let Some(sent) = request.attempt.as_ref().and_then(|a| a.sent_at)
+            && let Some(took) = self.elapsed_since(sent, now)
         {
-            self.fetches.begun(&request.pool, took);
+            self.fetch_times.first_event(&request.pool, took);
         }
         self.release(caller);
     }
@@ -233,30 +233,30 @@
         let Some(request) = self.requests.get(&caller).filter(|r| r.has_stages()) else {
             return;
         };
-        let freed = request.lacks_results();
+        let freed = request.results_freed();
         if freed {
-            self.fetches.missed(&request.pool);
+            self.fetch_times.freed_too_early(&request.pool);
         }
         self.out.push(Action::Log(LogEvent::ResultsGone {
             request: request.incoming.id.clone(),
             endpoint: attempt.endpoint.id.clone(),
-            ordered_ms: ms(now.saturating_sub(attempt.ordered)),
-            sent_ms: attempt.sent.map(|sent| ms(now.saturating_sub(sent))),
+            ordered_ms: ms(now.saturating_sub(attempt.ordered_at)),
+            sent_ms: attempt.sent_at.map(|sent| ms(now.saturating_sub(sent))),
             freed,
         }));
     }
 
-    pub(super) fn may_try_again(&self, caller: u64, now: Timestamp) -> bool {
+    pub(super) fn may_retry(&self, caller: u64, now: Timestamp) -> bool {
         self.requests.get(&caller).is_some_and(|r| {
             r.may_repeat()
-                && r.may_have_run + 1 < r.route.max_attempts
+                && r.uncertain_attempts + 1 < r.route.max_attempts
                 && r.sends < MAX_SENDS
-                && now + TOO_LATE < r.deadline
+                && now + MIN_TIME_LEFT < r.deadline
         })
     }
 
     /// The open attempt is proved not to have run.
-    pub(super) fn not_run(
+    pub(super) fn attempt_not_run(
         &mut self,
         caller: u64,
         proof: AnswerProof,
@@ -272,7 +272,7 @@
         } else {
             self.observations.full(endpoint, now);
         }
-        if proof.status == RESULTS_GONE {
+        if proof.status == STATUS_RESULTS_GONE {
             self.results_gone(caller, &attempt, now);
         }
         let Some(request) = self.requests.get(&caller) else {
@@ -281,12 +281,17 @@
         let (pool, sends) = (request.pool.clone(), request.sends);
         // Results that one endpoint can't fetch are missing for others as well. If this gateway had
         // them freed, the stages run again.
-        let is_hopeless = proof.status == RESULTS_GONE && !request.lacks_results();
-        let can_go_on = !is_hopeless && proof.status != 400 && sends < MAX_SENDS;
-        let goes_on = can_go_on && self.repeats.take(&pool, self.processes, now);
+        let is_permanent = proof.status == STATUS_RESULTS_GONE && !request.results_freed();
+        let can_retry = !is_permanent && proof.status != 400 && sends < MAX_SENDS;
+        let will_retry = can_retry && self.repeats.take(&pool, self.gateway_count, now);
         let failure = format!("not run: status {}", proof.status);
-        self.note_failure(caller, &attempt, failure, if goes_on { "again" } else { "refused" });
-        if goes_on {
+        self.log_attempt_failed(
+            caller,
+            &attempt,
+            failure,
+            if will_retry { "again" } else { "refused" },
+        );
+        if will_retry {
             self.dispatch(caller, table, now);
         } else {
             self.refuse(caller, Refused::Overloaded, RETRY_SOON, now);
@@ -294,14 +299,14 @@
     }
 
     /// The open attempt failed and may have run.
-    pub(super) fn may_have_run(
+    pub(super) fn attempt_may_have_run(
         &mut self,
         caller: u64,
         failure: Failure,
         table: &Table,
         now: Timestamp,
     ) {
-        let may_try = self.may_try_again(caller, now);
+        let may_retry = self.may_retry(caller, now);
         let Some(attempt) = self.close_attempt(caller) else {
             return;
         };
@@ -310,17 +315,17 @@
             self.report_unanswered(caller, &attempt, how);
         }
         if self.observations.failed(&attempt.endpoint, now) {
-            self.note_avoided(&attempt.endpoint.id, "failures");
+            self.log_avoided(&attempt.endpoint.id, "failures");
         }
         let Some(request) = self.requests.get_mut(&caller) else {
             return;
         };
-        request.may_have_run += 1;
+        request.uncertain_attempts += 1;
         let pool = request.pool.clone();
-        let goes_on = may_try && self.repeats.take(&pool, self.processes, now);
-        let next = if goes_on { "again" } else { "abandoned" };
-        self.note_failure(caller, &attempt, failure.as_str().to_owned(), next);
-        if goes_on {
+        let will_retry = may_retry && self.repeats.take(&pool, self.gateway_count, now);
+        let next = if will_retry { "again" } else { "abandoned" };
+        self.log_attempt_failed(caller, &attempt, failure.as_str().to_owned(), next);
+        if will_retry {
             self.dispatch(caller, table, now);
         } else {
             self.refuse(caller, Refused::OutcomeUnknown, RETRY_SOON, now);
@@ -336,15 +341,15 @@
         table: &Table,
         now: Timestamp,
     ) {
-        if !self.is_current(caller, attempt) {
+        if !self.is_current_attempt(caller, attempt) {
             return;
         }
         match failure {
             CallFailure::Broken => {
-                return self.may_have_run(caller, Failure::Broken, table, now);
+                return self.attempt_may_have_run(caller, Failure::ConnectionFailed, table, now);
             }
             CallFailure::Silent => {
-                return self.may_have_run(caller, Failure::Silent, table, now);
+                return self.attempt_may_have_run(caller, Failure::NoResponse, table, now);
             }
             CallFailure::NotSent | CallFailure::TurnedAway | CallFailure::Withheld => {}
         }
@@ -356,14 +361,14 @@
             CallFailure::Withheld => {}
             _ => {
                 self.avoid(&closed.endpoint, "unreachable", now);
-                self.may_have_restarted(caller, &closed.endpoint, table, now);
+                self.expect_cold_restart(caller, &closed.endpoint, table, now);
             }
         }
         let sends = self.requests.get(&caller).map_or(MAX_SENDS, |r| r.sends);
-        let goes_on = sends < MAX_SENDS;
-        let next = if goes_on { "again" } else { "refused" };
-        self.note_failure(caller, &closed, format!("not sent: {failure:?}"), next);
-        if goes_on {
+        let will_retry = sends < MAX_SENDS;
+        let next = if will_retry { "again" } else { "refused" };
+        self.log_attempt_failed(caller, &closed, format!("not sent: {failure:?}"), next);
+        if will_retry {
             self.dispatch(caller, table, now);
         } else {
             self.refuse(caller, Refused::NoEndpoint, RETRY_SOON, now);
@@ -380,11 +385,11 @@
         table: &Table,
         now: Timestamp,
     ) {
-        if !self.is_current(caller, attempt) {
+        if !self.is_current_attempt(caller, attempt) {
             return;
         }
         if is_complete {
-            self.learn(caller, true, now);
+            self.record_durations(caller, true, now);
         }
         let Some(closed) = self.close_attempt(caller) else {
             return;
@@ -395,48 +400,54 @@
             return self.end(caller, "streamed", Some(&closed.endpoint.id), now);
         }
         if self.observations.failed(&closed.endpoint, now) {
-            self.note_avoided(&closed.endpoint.id, "failed streams");
+            self.log_avoided(&closed.endpoint.id, "failed streams");
         }
         self.report_unanswered(caller, &closed, Unanswered::Broken);
-        let may_try = self.may_try_again(caller, now);
+        let may_retry = self.may_retry(caller, now);
         let Some(request) = self.requests.get_mut(&caller) else {
             return;
         };
-        request.may_have_run += 1;
+        request.uncertain_attempts += 1;
         request.last_event = last_event.or_else(|| request.last_event.take());
         let pool = request.pool.clone();
-        let goes_on = may_try
+        let will_retry = may_retry
             && request.route.resumable
             && !request.has_stages()
-            && self.repeats.take(&pool, self.processes, now);
-        let next = if goes_on { "resumed" } else { "aborted" };
-        self.note_failure(caller, &closed, "stream failed".to_owned(), next);
-        if goes_on {
+            && self.repeats.take(&pool, self.gateway_count, now);
+        let next = if will_retry { "resumed" } else { "aborted" };
+        self.log_attempt_failed(caller, &closed, "stream failed".to_owned(), next);
+        if will_retry {
             self.dispatch(caller, table, now);
         } else {
             self.abort(caller, "stream failed", now);
         }
     }
 
-    pub(super) fn silent(&mut self, caller: u64, attempt: u64, table: &Table, now: Timestamp) {
+    pub(super) fn response_timed_out(
+        &mut self,
+        caller: u64,
+        attempt: u64,
+        table: &Table,
+        now: Timestamp,
+    ) {
         let is_running = self.requests.get(&caller).is_some_and(|r| r.phase == Phase::Running);
-        if is_running && self.is_current(caller, attempt) {
-            self.may_have_run(caller, Failure::Silent, table, now);
+        if is_running && self.is_current_attempt(caller, attempt) {
+            self.attempt_may_have_run(caller, Failure::NoResponse, table, now);
         }
     }
 
     pub(super) fn avoid(&mut self, endpoint: &Endpoint, cause: &'static str, now: Timestamp) {
         if self.observations.unreachable(endpoint, now) {
-            self.note_avoided(&endpoint.id, cause);
+            self.log_avoided(&endpoint.id, cause);
         }
     }
 
-    pub(super) fn note_avoided(&mut self, endpoint: &Name, cause: &'static str) {
+    pub(super) fn log_avoided(&mut self, endpoint: &Name, cause: &'static str) {
         let endpoint = endpoint.clone();
         self.out.push(Action::Log(LogEvent::Suspicion { endpoint, avoided: true, cause }));
     }
 
-    pub(super) fn note_failure(
+    pub(super) fn log_attempt_failed(
         &mut self,
         caller: u64,
         attempt: &Attempt,
@@ -456,6 +467,6 @@
 
 /// Whether a status counts as a failure of the endpoint: any server error except 504, which reports
 /// that the caller's deadline has passed.
-const fn is_own_failure(status: u16) -> bool {
+const fn is_endpoint_failure(status: u16) -> bool {
     status >= 500 && status != 504
 }
--- a/src/direct/requests/changes.rs
+++ b/src/direct/requests/changes.rs
@@ -28,8 +28,8 @@
         self.ramps.retain(|id| table.endpoint(id).is_some());
         self.turns.retain(|id| table.endpoint(id).is_some());
         if merged.deployment.is_some() {
-            self.experience.retain(table.deployment.routes.iter().map(|r| &r.name));
-            self.fetches.retain(|pool| table.pool(pool).is_some());
+            self.durations.retain(table.deployment.routes.iter().map(|r| &r.name));
+            self.fetch_times.retain(|pool| table.pool(pool).is_some());
         }
         self.endpoints_restarted(&merged.restarted, table, now);
     }
@@ -70,25 +70,25 @@
         let pools = table.deployment.pools.iter();
         for pool in pools.filter(|pool| pool.endpoints.matches(&endpoint.labels)) {
             if let Some(until) = self.all_paused_until(&pool.name, table, now) {
-                self.refuse_hopeless(&pool.name, until, now);
+                self.refuse_paused_past_deadline(&pool.name, until, now);
             }
         }
     }
 
     /// When the first pause ends, if all endpoints of a pool that accept requests are paused.
     fn all_paused_until(&self, pool: &str, table: &Table, now: Timestamp) -> Option<Timestamp> {
-        let working = table.members(pool).iter().filter(|endpoint| !endpoint.leaving);
+        let accepting = table.members(pool).iter().filter(|endpoint| !endpoint.leaving);
         let ends: Option<Vec<Timestamp>> =
-            working.map(|endpoint| self.backoffs.until(endpoint, now)).collect();
+            accepting.map(|endpoint| self.backoffs.until(endpoint, now)).collect();
         ends?.into_iter().min()
     }
 
-    fn refuse_hopeless(&mut self, pool: &str, until: Timestamp, now: Timestamp) {
-        let is_hopeless = |request: &Request| {
+    fn refuse_paused_past_deadline(&mut self, pool: &str, until: Timestamp, now: Timestamp) {
+        let is_unservable = |request: &Request| {
             let is_in_stages = matches!(request.phase, Phase::Stages { .. });
             is_in_stages && *request.pool == *pool && request.deadline <= until
         };
-        for caller in self.callers_where(is_hopeless) {
+        for caller in self.callers_where(is_unservable) {
             self.refuse(caller, Refused::AllPaused, until.saturating_sub(now), now);
         }
     }
@@ -100,20 +100,20 @@
         if restarted.is_empty() {
             return;
         }
-        let is_lost = |request: &Request| {
+        let is_restarted = |request: &Request| {
             let endpoint = request.attempt.as_ref().map(|attempt| &attempt.endpoint);
             let now_there = endpoint.and_then(|e| Some((e, table.endpoint(&e.id)?)));
             request.phase == Phase::Running
                 && now_there.is_some_and(|(then, now)| then.incarnation != now.incarnation)
         };
-        for caller in self.callers_where(is_lost) {
-            self.may_have_run(caller, Failure::EndpointRestarted, table, now);
+        for caller in self.callers_where(is_restarted) {
+            self.attempt_may_have_run(caller, Failure::EndpointRestarted, table, now);
         }
     }
 
     /// An endpoint of a request's pool is unreachable: expects it to return with a new incarnation,
     /// cold.
-    pub(super) fn may_have_restarted(
+    pub(super) fn expect_cold_restart(
         &mut self,
         caller: u64,
         endpoint: &Endpoint,
@@ -121,9 +121,9 @@
         now: Timestamp,
     ) {
         let pool = self.requests.get(&caller).and_then(|request| table.pool(&request.pool));
-        let bears: Option<ColdStart> = pool.and_then(|pool| pool.cold);
-        if let Some(bears) = bears {
-            self.cold.unreachable(endpoint, bears, now);
+        let cold_start: Option<ColdStart> = pool.and_then(|pool| pool.cold);
+        if let Some(cold_start) = cold_start {
+            self.cold.unreachable(endpoint, cold_start, now);
         }
     }
 }
--- a/src/direct/requests/choice.rs
+++ b/src/direct/requests/choice.rs
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub(super) struct Choice {
     pub(super) endpoint: Arc<Endpoint>,
-    pub(super) because: &'static str,
+    pub(super) reason: &'static str,
     /// Number of endpoints that were available for the selection.
     pub(super) candidates: usize,
     /// How long the request may wait for a permit, if the endpoint has a rate limit.
@@ -24,33 +24,33 @@
 
 /// Why no endpoint can be selected for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum NoPlace {
+pub(super) enum Unplaced {
     /// No endpoint of the pool accepts requests, or the request was sent to all that do.
     NoEndpoint,
     /// No endpoint that accepts requests is in one of the request's allowed regions.
-    NotAtHome,
+    NotInAllowedRegion,
     /// All suitable endpoints are cold, and this gateway has used its share of their capacity.
     AllCold {
         /// Time until this gateway may next send to one of them.
-        for_at_least: Duration,
+        min_wait: Duration,
     },
     /// The suitable endpoint that is available first asked for a pause, or its load is still being
     /// raised after one.
     AllPaused {
         /// Time until it becomes available.
-        for_at_least: Duration,
+        min_wait: Duration,
     },
     /// The suitable endpoint that is available first has a rate limit, and other requests precede
     /// this one.
     AllLimited {
         /// Time until a permit for this request is expected.
-        for_at_least: Duration,
+        min_wait: Duration,
     },
 }
 
 /// Why an endpoint that accepts requests is temporarily unavailable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Because {
+enum UnavailableCause {
     Cold,
     Paused,
     Limited,
@@ -58,18 +58,18 @@
 
 /// Temporary unavailability of an endpoint. Ordered by its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Closed {
+pub(super) struct Unavailable {
     until: Timestamp,
-    because: Because,
+    cause: UnavailableCause,
 }
 
-impl Closed {
-    fn no_place(self, now: Timestamp) -> NoPlace {
-        let for_at_least = self.until.saturating_sub(now);
-        match self.because {
-            Because::Cold => NoPlace::AllCold { for_at_least },
-            Because::Paused => NoPlace::AllPaused { for_at_least },
-            Because::Limited => NoPlace::AllLimited { for_at_least },
+impl Unavailable {
+    fn unplaced(self, now: Timestamp) -> Unplaced {
+        let min_wait = self.until.saturating_sub(now);
+        match self.cause {
+            UnavailableCause::Cold => Unplaced::AllCold { min_wait },
+            UnavailableCause::Paused => Unplaced::AllPaused { min_wait },
+            UnavailableCause::Limited => Unplaced::AllLimited { min_wait },
         }
     }
 }
@@ -81,38 +81,38 @@
         request: &Request,
         table: &Table,
         now: Timestamp,
-    ) -> Result<Choice, NoPlace> {
+    ) -> Result<Choice, Unplaced> {
         let members = table.members(&request.pool);
-        let takes_work = |e: &&Arc<Endpoint>| !e.leaving && !request.tried.contains(&e.id);
-        let working: Vec<&Arc<Endpoint>> = members.iter().filter(takes_work).collect();
-        let at_home = working.iter().copied().filter(|e| request.homes.have(e));
-        let bears = table.pool(&request.pool).and_then(|pool| pool.cold);
-        let is_any_at_home = at_home.clone().next().is_some();
-        let closed = |e: &Endpoint| self.closed(e, request, bears, now);
-        let open: Vec<_> = at_home.clone().filter(|e| closed(e).is_none()).collect();
-        let median = self.observations.median_answer(members.iter().map(|e| &**e));
+        let is_candidate = |e: &&Arc<Endpoint>| !e.leaving && !request.tried.contains(&e.id);
+        let accepting: Vec<&Arc<Endpoint>> = members.iter().filter(is_candidate).collect();
+        let allowed = accepting.iter().copied().filter(|e| request.allowed_regions.have(e));
+        let cold_start = table.pool(&request.pool).and_then(|pool| pool.cold);
+        let is_any_allowed = allowed.clone().next().is_some();
+        let unavailability = |e: &Endpoint| self.unavailability(e, request, cold_start, now);
+        let available: Vec<_> = allowed.clone().filter(|e| unavailability(e).is_none()).collect();
+        let median = self.observations.median_response_time(members.iter().map(|e| &**e));
         let share = self.connection_share(&request.pool, table);
-        let places: Vec<_> = open
+        let places: Vec<_> = available
             .iter()
             .map(|e| self.observations.place(e, &self.data_centre, median, share, now))
             .collect();
-        let apart = self.set_apart(request);
-        let part = apart.as_deref().or(request.shared_part());
+        let isolation_key = self.isolation_key(request);
+        let prefix = isolation_key.as_deref().or(request.shared_prompt_part());
         let is_limited = |e: &Endpoint| self.limits.rate(e, now).is_some();
-        let waits = !open.is_empty() && open.iter().all(|e| is_limited(e));
-        let wait = if waits { request.time_to_wait(now) } else { Duration::ZERO };
-        match place(&places, part) {
-            Some((chosen, because)) => Ok(Choice {
-                endpoint: open[chosen].clone(),
-                because: if apart.is_some() { "set_apart" } else { because.as_str() },
-                candidates: open.len(),
+        let are_all_limited = !available.is_empty() && available.iter().all(|e| is_limited(e));
+        let wait = if are_all_limited { request.max_permit_wait(now) } else { Duration::ZERO };
+        match place(&places, prefix) {
+            Some((chosen, reason)) => Ok(Choice {
+                endpoint: available[chosen].clone(),
+                reason: if isolation_key.is_some() { "set_apart" } else { reason.as_str() },
+                candidates: available.len(),
                 wait,
             }),
-            None if let Some(turn) = self.first_turn(at_home, request, bears, now) => Ok(turn),
-            None => Err(match self.next_of_all(request, members, bears, now) {
-                Some(closed) => closed.no_place(now),
-                None if working.is_empty() || is_any_at_home => NoPlace::NoEndpoint,
-                None => NoPlace::NotAtHome,
+            None if let Some(turn) = self.first_turn(allowed, request, cold_start, now) => Ok(turn),
+            None => Err(match self.earliest_availability(request, members, cold_start, now) {
+                Some(unavailable) => unavailable.unplaced(now),
+                None if accepting.is_empty() || is_any_allowed => Unplaced::NoEndpoint,
+                None => Unplaced::NotInAllowedRegion,
             }),
         }
     }
@@ -123,77 +123,73 @@
         &self,
         endpoints: impl Iterator<Item = &'a Arc<Endpoint>>,
         request: &Request,
-        bears: Option<ColdStart>,
+        cold_start: Option<ColdStart>,
         now: Timestamp,
     ) -> Option<Choice> {
-        let wait = request.time_to_wait(now);
+        let wait = request.max_permit_wait(now);
         let limited = endpoints.filter(|e| self.limits.rate(e, now).is_some());
-        let limited = limited.filter(|e| self.closed_to_all(e, bears, now).is_none());
+        let limited = limited.filter(|e| self.unavailability_for_all(e, cold_start, now).is_none());
         let turns = limited.map(|e| (self.turns.turn(e, request.priority, now), &e.id, e));
         let in_time = turns.filter(|(turn, ..)| turn.is_none_or(|turn| turn <= now + wait));
         let (_, _, first) = in_time.min_by_key(|(turn, id, _)| (*turn, *id))?;
-        Some(Choice { endpoint: first.clone(), because: "turn", candidates: 1, wait })
+        Some(Choice { endpoint: first.clone(), reason: "turn", candidates: 1, wait })
     }
 
     /// When the first endpoint of the request's pool becomes available; `None` if one is available
     /// now. Includes the endpoints that the request was already sent to, because a retry by the
     /// caller may use any of them.
-    fn next_of_all(
+    fn earliest_availability(
         &self,
         request: &Request,
         members: &[Arc<Endpoint>],
-        bears: Option<ColdStart>,
+        cold_start: Option<ColdStart>,
         now: Timestamp,
-    ) -> Option<Closed> {
-        let working = members.iter().filter(|e| !e.leaving && request.homes.have(e));
-        let closed: Option<Vec<Closed>> =
-            working.map(|e| self.closed(e, request, bears, now)).collect();
-        closed?.into_iter().min()
+    ) -> Option<Unavailable> {
+        let accepting = members.iter().filter(|e| !e.leaving && request.allowed_regions.have(e));
+        let unavailable: Option<Vec<Unavailable>> =
+            accepting.map(|e| self.unavailability(e, request, cold_start, now)).collect();
+        unavailable?.into_iter().min()
     }
 
     /// Whether and until when an endpoint is unavailable to a request.
-    fn closed(
+    fn unavailability(
         &self,
         endpoint: &Endpoint,
         request: &Request,
-        bears: Option<ColdStart>,
+        cold_start: Option<ColdStart>,
         now: Timestamp,
-    ) -> Option<Closed> {
+    ) -> Option<Unavailable> {
         let is_limited = self.limits.rate(endpoint, now).is_some();
         let turn = is_limited.then(|| self.turns.turn(endpoint, request.priority, now)).flatten();
-        let turn = turn.map(|until| Closed { until, because: Because::Limited });
-        self.closed_to_all(endpoint, bears, now).into_iter().chain(turn).max()
+        let turn = turn.map(|until| Unavailable { until, cause: UnavailableCause::Limited });
+        self.unavailability_for_all(endpoint, cold_start, now).into_iter().chain(turn).max()
     }
 
     /// Whether and until when an endpoint is unavailable to all requests, regardless of its rate
     /// limit.
-    pub(super) fn closed_to_all(
+    pub(super) fn unavailability_for_all(
         &self,
         endpoint: &Endpoint,
-        bears: Option<ColdStart>,
+        cold_start: Option<ColdStart>,
         now: Timestamp,
-    ) -> Option<Closed> {
-        let cold = self.cold.opens(endpoint, bears, self.processes, now);
-        let cold = cold.map(|until| Closed { until, because: Because::Cold });
+    ) -> Option<Unavailable> {
+        let cold = self.cold.opens(endpoint, cold_start, self.gateway_count, now);
+        let cold = cold.map(|until| Unavailable { until, cause: UnavailableCause::Cold });
         let paused = self.backoffs.until(endpoint, now);
         let filled = || self.ramps.is_full(endpoint).then(|| now + RETRY_SOON);
         let paused = paused.or_else(filled);
-        let paused = paused.map(|until| Closed { until, because: Because::Paused });
+        let paused = paused.map(|until| Unavailable { until, cause: UnavailableCause::Paused });
         cold.into_iter().chain(paused).max()
     }
 
     /// Refuses a request for which no endpoint can be selected.
-    pub(super) fn refuse_without_place(&mut self, caller: u64, no_place: NoPlace, now: Timestamp) {
-        let (reason, retry_after) = match no_place {
-            NoPlace::NoEndpoint => (Refused::NoEndpoint, RETRY_SOON),
-            NoPlace::NotAtHome => (Refused::NoEndpointAtHome, RETRY_SOON),
-            NoPlace::AllCold { for_at_least } => (Refused::AllCold, for_at_least.max(RETRY_SOON)),
-            NoPlace::AllPaused { for_at_least } => {
-                (Refused::AllPaused, for_at_least.max(RETRY_SOON))
-            }
-            NoPlace::AllLimited { for_at_least } => {
-                (Refused::AllLimited, for_at_least.max(RETRY_SOON))
-            }
+    pub(super) fn refuse_unplaced(&mut self, caller: u64, unplaced: Unplaced, now: Timestamp) {
+        let (reason, retry_after) = match unplaced {
+            Unplaced::NoEndpoint => (Refused::NoEndpoint, RETRY_SOON),
+            Unplaced::NotInAllowedRegion => (Refused::NoEndpointAtHome, RETRY_SOON),
+            Unplaced::AllCold { min_wait } => (Refused::AllCold, min_wait.max(RETRY_SOON)),
+            Unplaced::AllPaused { min_wait } => (Refused::AllPaused, min_wait.max(RETRY_SOON)),
+            Unplaced::AllLimited { min_wait } => (Refused::AllLimited, min_wait.max(RETRY_SOON)),
         };
         self.refuse(caller, reason, retry_after, now);
     }
@@ -202,6 +198,6 @@
     /// bound for all gateways.
     pub(super) fn connection_share(&self, pool: &Name, table: &Table) -> usize {
         let bound = table.pool(pool).map_or(u32::MAX, |p| p.max_connections) as usize;
-        (bound / self.processes.max(1)).max(1)
+        (bound / self.gateway_count.max(1)).max(1)
     }
 }
--- a/src/direct/requests/dispatch.rs
+++ b/src/direct/requests/dispatch.rs
@@ -10,12 +10,12 @@
 use crate::message::Timestamp;
 
 /// Minimum time before the deadline at which a request is still sent.
-pub(super) const TOO_LATE: Duration = Duration::from_millis(5);
+pub(super) const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
 
 impl Requests {
     /// Sends a request to an endpoint, asks for a permit to do so, or refuses the request.
     pub(super) fn dispatch(&mut self, caller: u64, table: &Table, now: Timestamp) {
-        if !self.may_go_on(caller, now) {
+        if !self.check_before_send(caller, now) {
             return;
         }
         let Some(request) = self.requests.get(&caller) else {
@@ -29,24 +29,24 @@
                 self.await_permit(caller, choice, now);
             }
             Ok(choice) => self.send(caller, choice, None, table, now),
-            Err(no_place) => self.refuse_without_place(caller, no_place, now),
+            Err(unplaced) => self.refuse_unplaced(caller, unplaced, now),
         }
     }
 
     /// Whether a request may be sent now. Otherwise refuses it, or submits its stages again if
     /// their results were freed.
-    pub(super) fn may_go_on(&mut self, caller: u64, now: Timestamp) -> bool {
+    pub(super) fn check_before_send(&mut self, caller: u64, now: Timestamp) -> bool {
         let Some(request) = self.requests.get_mut(&caller) else {
             return false;
         };
         request.permit = None;
-        if now + TOO_LATE >= request.deadline {
+        if now + MIN_TIME_LEFT >= request.deadline {
             self.refuse(caller, Refused::TimedOut, RETRY_SOON, now);
             return false;
         }
         self.may_be_sent(caller, now)
-            && !self.is_refused_as_poison(caller, now)
-            && !self.make_again(caller)
+            && !self.refuse_if_poison(caller, now)
+            && !self.restart_stages_if_freed(caller)
     }
 
     /// Sends a request to the selected endpoint.
@@ -58,31 +58,31 @@
         table: &Table,
         now: Timestamp,
     ) {
-        let Choice { endpoint, because, candidates, .. } = choice;
+        let Choice { endpoint, reason, candidates, .. } = choice;
         let Some(request) = self.requests.get(&caller) else {
             return;
         };
         let selector = table.pool(&request.pool).map(|p| p.endpoints.to_string());
         self.out.push(Action::Log(LogEvent::Sent {
             request: request.incoming.id.clone(),
-            attempt: self.next_attempt + 1,
+            attempt: self.last_attempt + 1,
             selector: selector.unwrap_or_default(),
             endpoint: endpoint.id.clone(),
-            because: because.to_owned(),
+            because: reason.to_owned(),
             candidates,
             left_ms: ms(request.deadline.saturating_sub(now)),
         }));
-        self.call(caller, endpoint, permit, table, now);
+        self.start_attempt(caller, endpoint, permit, table, now);
     }
 
     /// Submits the stages of a request again if their results were freed after an endpoint accepted
     /// it. Returns whether they were.
-    fn make_again(&mut self, caller: u64) -> bool {
-        let Some(request) = self.requests.get_mut(&caller).filter(|r| r.lacks_results()) else {
+    fn restart_stages_if_freed(&mut self, caller: u64) -> bool {
+        let Some(request) = self.requests.get_mut(&caller).filter(|r| r.results_freed()) else {
             return false;
         };
         request.results.iter_mut().for_each(Vec::clear);
-        self.to_submit.push(caller);
+        self.pending_submissions.push(caller);
         true
     }
 }
--- a/src/direct/requests/early.rs
+++ b/src/direct/requests/early.rs
@@ -11,7 +11,7 @@
 
 /// Maximum wait for a configuration, which arrives 10 to 20 ms after a process starts. After a
 /// restart of all processes, 40 to 60 callers connect before it.
-const LONGEST: Duration = Duration::from_millis(150);
+const MAX_WAIT: Duration = Duration::from_millis(150);
 /// Time after the first configuration until a process has received the state of its peers and
 /// endpoints. Stages that start earlier compete with those of other owners for result memory that
 /// is already in use. Together with the reports of endpoints, this wait raised the benchmark score
@@ -19,9 +19,9 @@
 /// configuration alone lowered it by as much.
 pub const SETTLING: Duration = Duration::from_millis(25);
 /// A request waits for at most its timeout divided by this.
-const SHARE_OF_TIME: u32 = 8;
+const TIMEOUT_DIVISOR: u32 = 8;
 /// Maximum number of waiting requests; bounds memory.
-const MOST: usize = 1_000;
+const MAX_WAITING: usize = 1_000;
 
 /// A request that waits for the first configuration.
 #[derive(Debug)]
@@ -44,13 +44,13 @@
 impl Waiting {
     /// Whether another request may be added.
     pub fn is_open(&self) -> bool {
-        self.requests.len() < MOST
+        self.requests.len() < MAX_WAITING
     }
 
     /// Adds a request.
     pub fn add(&mut self, caller: u64, incoming: IncomingRequest, now: Timestamp) {
-        let share = incoming.timeout.map_or(LONGEST, |allowed| allowed / SHARE_OF_TIME);
-        let until = now + share.min(LONGEST);
+        let share = incoming.timeout.map_or(MAX_WAIT, |allowed| allowed / TIMEOUT_DIVISOR);
+        let until = now + share.min(MAX_WAIT);
         self.requests.push(Early { caller, incoming, arrived: now, until });
     }
 
@@ -62,10 +62,10 @@
     /// Removes and returns the requests that can be decided now, and those whose wait is over.
     pub fn take_due(
         &mut self,
-        knows: impl Fn(&IncomingRequest) -> bool,
+        can_decide: impl Fn(&IncomingRequest) -> bool,
         now: Timestamp,
     ) -> Vec<Early> {
-        let is_due = |early: &Early| early.until <= now || knows(&early.incoming);
+        let is_due = |early: &Early| early.until <= now || can_decide(&early.incoming);
         let (due, waiting) = std::mem::take(&mut self.requests).into_iter().partition(is_due);
         self.requests = waiting;
         due
--- a/src/direct/requests/endpoints.rs
+++ b/src/direct/requests/endpoints.rs
@@ -9,17 +9,17 @@
 
 /// Basis of the time for which a failing endpoint is avoided; doubles with each consecutive
 /// failure.
-const FIRST_AVOIDANCE: Duration = Duration::from_millis(500);
+const BASE_AVOIDANCE: Duration = Duration::from_millis(500);
 /// Maximum time for which an endpoint is avoided.
-const LONGEST_AVOIDANCE: Duration = Duration::from_secs(4);
+const MAX_AVOIDANCE: Duration = Duration::from_secs(4);
 /// Time for which an endpoint is avoided after it reported to be full.
-const FULL_PAUSE: Duration = Duration::from_millis(60);
+const FULL_AVOIDANCE: Duration = Duration::from_millis(60);
 /// Maximum age of a load report that is still used.
-const REPORT_KEPT: Duration = Duration::from_secs(1);
+const LOAD_REPORT_TTL: Duration = Duration::from_secs(1);
 /// Weight of a new sample in the moving averages.
-const NEW_WEIGHT: f64 = 0.2;
+const SAMPLE_WEIGHT: f64 = 0.2;
 /// Average share of failed calls from which on an endpoint is avoided.
-const FAILING_SHARE: f64 = 0.25;
+const MAX_FAILURE_RATE: f64 = 0.25;
 
 /// Observations of one incarnation of an endpoint.
 #[derive(Debug, Clone, Default)]
@@ -27,11 +27,11 @@
     /// Incarnation of the endpoint that the observations belong to.
     incarnation: u64,
     in_flight: u32,
-    reported: Option<(u32, Timestamp)>,
+    load_report: Option<(u32, Timestamp)>,
     avoided_until: Timestamp,
-    failures: u32,
-    failing: f64,
-    answer_time: Option<f64>,
+    consecutive_failures: u32,
+    failure_rate: f64,
+    response_time_s: Option<f64>,
 }
 
 /// Observations of all endpoints that one gateway has called.
@@ -42,7 +42,7 @@
 
 impl Observations {
     /// The observations of an endpoint, if they belong to its current incarnation.
-    fn entry(&mut self, endpoint: &Endpoint) -> Option<&mut Observed> {
+    fn get_mut(&mut self, endpoint: &Endpoint) -> Option<&mut Observed> {
         let observed = self.observed.get_mut(&endpoint.id)?;
         (observed.incarnation == endpoint.incarnation).then_some(observed)
     }
@@ -63,69 +63,70 @@
 
     /// A call ended.
     pub fn ended(&mut self, endpoint: &Endpoint) {
-        if let Some(observed) = self.entry(endpoint) {
+        if let Some(observed) = self.get_mut(endpoint) {
             observed.in_flight = observed.in_flight.saturating_sub(1);
         }
     }
 
     /// An endpoint reported its load: the number of running and waiting requests.
     pub fn reported(&mut self, endpoint: &Endpoint, load: u32, now: Timestamp) {
-        if let Some(observed) = self.entry(endpoint) {
-            observed.reported = Some((load, now));
+        if let Some(observed) = self.get_mut(endpoint) {
+            observed.load_report = Some((load, now));
         }
     }
 
     /// An endpoint responded without a server error; `took` is the response time, if it is known.
     pub fn answered(&mut self, endpoint: &Endpoint, took: Option<Duration>) {
-        let Some(observed) = self.entry(endpoint) else {
+        let Some(observed) = self.get_mut(endpoint) else {
             return;
         };
-        observed.failures = 0;
-        observed.failing *= 1.0 - NEW_WEIGHT;
+        observed.consecutive_failures = 0;
+        observed.failure_rate *= 1.0 - SAMPLE_WEIGHT;
         let Some(took) = took.map(|took| took.as_secs_f64()) else {
             return;
         };
-        let before = observed.answer_time.unwrap_or(took);
-        observed.answer_time = Some(before + (took - before) * NEW_WEIGHT);
+        let before = observed.response_time_s.unwrap_or(took);
+        observed.response_time_s = Some(before + (took - before) * SAMPLE_WEIGHT);
     }
 
     /// An endpoint is full: avoids it for a short time.
     pub fn full(&mut self, endpoint: &Endpoint, now: Timestamp) {
-        let Some(observed) = self.entry(endpoint) else {
+        let Some(observed) = self.get_mut(endpoint) else {
             return;
         };
-        observed.avoided_until = observed.avoided_until.max(now + FULL_PAUSE);
+        observed.avoided_until = observed.avoided_until.max(now + FULL_AVOIDANCE);
     }
 
     /// A call to an endpoint failed; returns whether the endpoint is newly avoided.
     pub fn failed(&mut self, endpoint: &Endpoint, now: Timestamp) -> bool {
-        let Some(observed) = self.entry(endpoint) else {
+        let Some(observed) = self.get_mut(endpoint) else {
             return false;
         };
-        observed.failures += 1;
-        observed.failing += (1.0 - observed.failing) * NEW_WEIGHT;
-        if observed.failures < 2 && observed.failing < FAILING_SHARE {
+        observed.consecutive_failures += 1;
+        observed.failure_rate += (1.0 - observed.failure_rate) * SAMPLE_WEIGHT;
+        if observed.consecutive_failures < 2 && observed.failure_rate < MAX_FAILURE_RATE {
             return false;
         }
         let was_avoided = observed.avoided_until > now;
-        let pause = FIRST_AVOIDANCE * 2u32.saturating_pow(observed.failures.min(6));
-        observed.avoided_until = now + pause.min(LONGEST_AVOIDANCE);
+        let pause = BASE_AVOIDANCE * 2u32.saturating_pow(observed.consecutive_failures.min(6));
+        observed.avoided_until = now + pause.min(MAX_AVOIDANCE);
         !was_avoided
     }
 
     /// An endpoint is unreachable; returns whether it is newly avoided.
     pub fn unreachable(&mut self, endpoint: &Endpoint, now: Timestamp) -> bool {
-        let Some(observed) = self.entry(endpoint) else {
+        let Some(observed) = self.get_mut(endpoint) else {
             return false;
         };
         let was_avoided = observed.avoided_until > now;
-        observed.failures += 1;
-        observed.avoided_until = now + LONGEST_AVOIDANCE.min(FIRST_AVOIDANCE * observed.failures);
+        observed.consecutive_failures += 1;
+        observed.avoided_until =
+            now + MAX_AVOIDANCE.min(BASE_AVOIDANCE * observed.consecutive_failures);
         !was_avoided
     }
 
     /// Whether an endpoint is assumed to have a free slot.
-    pub fn has_place(&self, endpoint: &Endpoint, now: Timestamp) -> bool {
+    pub fn has_free_slot(&self, endpoint: &Endpoint, now: Timestamp) -> bool {
         self.load(endpoint, now) < endpoint.slots
     }
 
@@ -135,7 +136,7 @@
         let Some(observed) = self.get(endpoint) else {
             return 0;
         };
-        let reported = observed.reported.filter(|(_, at)| now < *at + REPORT_KEPT);
+        let reported = observed.load_report.filter(|(_, at)| now < *at + LOAD_REPORT_TTL);
         observed.in_flight.max(reported.map_or(0, |(load, _)| load))
     }
 
@@ -150,7 +151,7 @@
         now: Timestamp,
     ) -> Place<'a> {
         let observed = self.get(endpoint).cloned().unwrap_or_default();
-        let slowness = match (observed.answer_time, median) {
+        let slowness = match (observed.response_time_s, median) {
             (Some(own), Some(median)) if median > 0.0 => (own / median).clamp(1.0, 8.0),
             _ => 1.0,
         };
@@ -165,8 +166,11 @@
     }
 
     /// The median of the average response times of these endpoints, in seconds.
-    pub fn median_answer<'a>(&self, pool: impl Iterator<Item = &'a Endpoint>) -> Option<f64> {
-        let mut times: Vec<f64> = pool.filter_map(|e| self.get(e)?.answer_time).collect();
+    pub fn median_response_time<'a>(
+        &self,
+        pool: impl Iterator<Item = &'a Endpoint>,
+    ) -> Option<f64> {
+        let mut times: Vec<f64> = pool.filter_map(|e| self.get(e)?.response_time_s).collect();
         times.sort_by(f64::total_cmp);
         times.get(times.len() / 2).copied()
     }
--- a/src/direct/requests/experience.rs
+++ b/src/direct/requests/experience.rs
@@ -7,15 +7,15 @@
 use crate::direct::published::model::Name;
 
 /// Number of samples kept for each route and size class.
-const KEPT: usize = 64;
+const MAX_SAMPLES: usize = 64;
 /// Minimum number of samples for an estimate.
-const FEW: usize = 8;
+const MIN_SAMPLES: usize = 8;
 /// Number of smaller size classes whose scaled samples count for a size: down to a quarter of it.
 const SMALLER_CLASSES: u32 = 2;
 /// Quantile of the durations that counts as typical.
-const USUAL: f64 = 0.95;
+const TYPICAL_QUANTILE: f64 = 0.95;
 /// Factor on the longest observed duration for a safe upper bound.
-const SAFETY: f64 = 1.2;
+const SAFETY_FACTOR: f64 = 1.2;
 
 /// Time after which a balancer that probes every second has seen two failed probes.
 pub const NOTICED: Duration = Duration::from_millis(2_600);
@@ -43,12 +43,12 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Took {
+struct Sample {
     size: u64,
     time: Duration,
 }
 
-impl Took {
+impl Sample {
     /// The duration scaled to a larger size in proportion; never scaled down.
     fn scaled_to(self, size: u64) -> Duration {
         let factor = size as f64 / self.size.max(1) as f64;
@@ -57,36 +57,36 @@
 }
 
 /// Samples of one span of one route, by size class.
-type Classes = BTreeMap<u32, VecDeque<Took>>;
+type Classes = BTreeMap<u32, VecDeque<Sample>>;
 
 /// Recent durations of requests.
 #[derive(Debug, Default)]
 pub struct Experience {
-    took: HashMap<Name, HashMap<Part, Classes>>,
+    samples: HashMap<Name, HashMap<Part, Classes>>,
 }
 
 /// Size class: sizes within a factor of two share one.
-const fn class(size: u64) -> u32 {
+const fn size_class(size: u64) -> u32 {
     u64::BITS - size.leading_zeros()
 }
 
 impl Experience {
     /// Records the duration of a span of a request.
     pub fn took(&mut self, route: &Name, part: Part, size: u64, time: Duration) {
-        let parts = self.took.entry(route.clone()).or_default();
-        let took = parts.entry(part).or_default().entry(class(size)).or_default();
-        if took.len() == KEPT {
-            took.pop_front();
+        let parts = self.samples.entry(route.clone()).or_default();
+        let samples = parts.entry(part).or_default().entry(size_class(size)).or_default();
+        if samples.len() == MAX_SAMPLES {
+            samples.pop_front();
         }
-        took.push_back(Took { size, time });
+        samples.push_back(Sample { size, time });
     }
 
     /// Records that a request has not finished within this time. This adds information only if the
     /// time exceeds the longest sample of its class.
     pub fn took_more(&mut self, route: &Name, part: Part, size: u64, than: Duration) {
-        let of_class = self.classes(route, part).and_then(|c| c.get(&class(size)));
-        let worst = of_class.and_then(|took| took.iter().map(|t| t.time).max());
-        if worst.is_some_and(|worst| than > worst) {
+        let of_class = self.classes(route, part).and_then(|c| c.get(&size_class(size)));
+        let longest = of_class.and_then(|samples| samples.iter().map(|t| t.time).max());
+        if longest.is_some_and(|longest| than > longest) {
             self.took(route, part, size, than);
         }
     }
@@ -94,42 +94,42 @@
     /// Removes routes that are not published any more.
     pub fn retain<'a>(&mut self, published: impl Iterator<Item = &'a Name>) {
         let published: HashSet<&Name> = published.collect();
-        self.took.retain(|route, _| published.contains(route));
+        self.samples.retain(|route, _| published.contains(route));
     }
 
     /// Expected duration of a request; `None` without enough samples.
     pub fn expected(&self, route: &Name, part: Part, size: u64, sure: Sure) -> Option<Duration> {
         let classes = self.classes(route, part)?;
         match sure {
-            Sure::Usually => usual(classes, class(size)),
-            Sure::Surely => worst(classes, size).map(|worst| worst.mul_f64(SAFETY)),
+            Sure::Usually => typical(classes, size_class(size)),
+            Sure::Surely => longest(classes, size).map(|time| time.mul_f64(SAFETY_FACTOR)),
             Sure::ByDeadline => None,
         }
     }
 
     fn classes(&self, route: &Name, part: Part) -> Option<&Classes> {
-        self.took.get(route)?.get(&part)
+        self.samples.get(route)?.get(&part)
     }
 }
 
 /// Typical duration in a size class, or over all classes if this class has too few samples.
-fn usual(classes: &Classes, class: u32) -> Option<Duration> {
-    let own = classes.get(&class).filter(|took| took.len() >= FEW);
+fn typical(classes: &Classes, class: u32) -> Option<Duration> {
+    let own = classes.get(&class).filter(|samples| samples.len() >= MIN_SAMPLES);
     let mut times: Vec<Duration> = match own {
-        Some(took) => took.iter().map(|t| t.time).collect(),
+        Some(samples) => samples.iter().map(|t| t.time).collect(),
         None => classes.values().flatten().map(|t| t.time).collect(),
     };
     times.sort_unstable();
-    times.get((times.len() as f64 * USUAL) as usize).copied()
+    times.get((times.len() as f64 * TYPICAL_QUANTILE) as usize).copied()
 }
 
 /// Longest duration of similar requests, scaled to this size; `None` if there are too few. Much
 /// smaller requests, or a single one, give no bound.
-fn worst(classes: &Classes, size: u64) -> Option<Duration> {
-    let own = class(size);
+fn longest(classes: &Classes, size: u64) -> Option<Duration> {
+    let own = size_class(size);
     let alike = classes.range(own.saturating_sub(SMALLER_CLASSES)..=own + 1);
     let times: Vec<Duration> = alike.flat_map(|(_, t)| t).map(|t| t.scaled_to(size)).collect();
-    if times.len() < FEW {
+    if times.len() < MIN_SAMPLES {
         return None;
     }
     times.into_iter().max()
--- a/src/direct/requests/fetches.rs
+++ b/src/direct/requests/fetches.rs
@@ -11,11 +11,11 @@
 
 /// Minimum number of first events for an estimate; until then results are kept until the first
 /// event.
-const FEW: u32 = 8;
+const MIN_FIRST_EVENTS: u32 = 8;
 /// Growth of the minimum with each first event, so that it adapts after a change.
-const FORGETTING: f64 = 1.02;
+const MINIMUM_GROWTH: f64 = 1.02;
 /// Minimum time for which results are kept. Early freeing was measured with this bound.
-const SHORTEST: Duration = Duration::from_millis(60);
+const MIN_RETENTION: Duration = Duration::from_millis(60);
 
 /// First events of one pool.
 #[derive(Debug)]
@@ -34,23 +34,23 @@
 
 impl Fetches {
     /// The first event arrived this long after its call was sent.
-    pub fn begun(&mut self, pool: &Name, after: Duration) {
+    pub fn first_event(&mut self, pool: &Name, after: Duration) {
         let first = FirstEvents { count: 0, quickest: after };
         let events = self.pools.entry(pool.clone()).or_insert(first);
         events.count = events.count.saturating_add(1);
-        events.quickest = after.min(events.quickest.mul_f64(FORGETTING));
+        events.quickest = after.min(events.quickest.mul_f64(MINIMUM_GROWTH));
     }
 
     /// Results were freed before they were fetched: discards the estimate of the pool.
-    pub fn missed(&mut self, pool: &Name) {
+    pub fn freed_too_early(&mut self, pool: &Name) {
         self.pools.remove(pool);
     }
 
     /// How long results are kept after a call was sent; `None` if they are kept until its first
     /// event.
-    pub fn kept_for(&self, pool: &Name) -> Option<Duration> {
-        let known = self.pools.get(pool).filter(|p| p.count >= FEW)?;
-        Some(known.quickest.max(SHORTEST))
+    pub fn retention(&self, pool: &Name) -> Option<Duration> {
+        let events = self.pools.get(pool).filter(|p| p.count >= MIN_FIRST_EVENTS)?;
+        Some(events.quickest.max(MIN_RETENTION))
     }
 
     /// Removes pools that are not published any more.
--- a/src/direct/requests/mod.rs
+++ b/src/direct/requests/mod.rs
@@ -6,7 +6,7 @@
 //! `core` passes in events of callers, endpoints and owners. `stages` and `owners` have the stages
 //! run; `dispatch` and `choice` send requests to endpoints, selected by `policy::place`; `attempts`
 //! tracks the calls; `permits` and `ramp` limit the load after endpoints asked for it; `changes`
-//! applies changed endpoints; `early`, `stopping`, `patience` and `poison` handle startup,
+//! applies changed endpoints; `early`, `stopping`, `overload` and `poison` handle startup,
 //! shutdown, overload and requests that crash endpoints.
 
 mod attempts;
@@ -17,8 +17,8 @@
 pub mod endpoints;
 pub mod experience;
 pub mod fetches;
+mod overload;
 mod owners;
-mod patience;
 mod permits;
 mod poison;
 mod ramp;
@@ -50,7 +50,7 @@
 use crate::direct::requests::endpoints::Observations;
 use crate::direct::requests::experience::Experience;
 use crate::direct::requests::fetches::Fetches;
-use crate::direct::requests::owners::KnownOwners;
+use crate::direct::requests::owners::OwnerRanking;
 use crate::direct::requests::ramp::Ramps;
 use crate::direct::requests::request::{Phase, Request};
 use crate::direct::requests::stopping::Stopping;
@@ -63,9 +63,9 @@
 /// Upper bound of the jitter added to `retry_after` when all endpoints are paused or rate-limited.
 /// An unbounded jitter would add up to half of the pause; the gradual refill of the endpoints
 /// limits the load anyway.
-const PAUSE_SPREAD: Duration = Duration::from_millis(500);
+const MAX_PAUSE_JITTER: Duration = Duration::from_millis(500);
 /// Timeout of a request that states none.
-const DEFAULT_ALLOWED: Duration = Duration::from_secs(60);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 /// After the process was suspended, timers are deferred by this time so that responses which
 /// arrived during the suspension are read, and late ones delivered, before calls count as silent.
 pub const READ_FIRST: Duration = Duration::from_millis(100);
@@ -74,9 +74,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     Deadline,
-    Owner(u32),
-    Silence(u64),
-    Fetched(u64),
+    OwnerDecision(u32),
+    Response(u64),
+    InputsFetched(u64),
 }
 
 /// The requests of one gateway and the state that decisions on them depend on.
@@ -97,33 +97,33 @@
     /// Earliest time to ask again for a permit, by endpoint and priority, after a refusal.
     turns: Turns,
     /// Number of the last permit that was asked for.
-    next_permit: u64,
+    last_permit: u64,
     ramps: Ramps,
-    pub(super) experience: Experience,
-    pub(super) fetches: Fetches,
+    pub(super) durations: Experience,
+    pub(super) fetch_times: Fetches,
     pub(super) stopping: Option<Stopping>,
     /// When a stopping process last checked the requests that wait for their stages.
-    pub(super) stages_looked_at: Timestamp,
+    pub(super) stages_checked_at: Timestamp,
     /// When a stopping process last recorded the durations of running requests.
-    pub(super) running_learnt_at: Timestamp,
+    pub(super) running_sampled_at: Timestamp,
     pub(super) repeats: Repeats,
-    pub(super) processes: usize,
-    owners: KnownOwners,
+    pub(super) gateway_count: usize,
+    owners: OwnerRanking,
     /// Cells that recently refused a job for lack of time or capacity, with the end of that state.
-    pub(super) short_cells: HashMap<Name, Timestamp>,
+    pub(super) refusing_cells: HashMap<Name, Timestamp>,
     /// Event lag of this process.
-    pub(super) lateness: Duration,
+    pub(super) event_lag: Duration,
     /// When this process last resumed after a suspension; earlier starting times give no durations.
     pub(super) resumed_at: Timestamp,
     /// Event lag that other gateways reported.
-    pub(super) late_owners: HashMap<SocketAddr, patience::Told>,
+    pub(super) peer_lags: HashMap<SocketAddr, overload::ReportedLag>,
     /// Fingerprints of requests under which endpoints crashed.
     pub(super) suspects: Arc<Suspects>,
-    pub(super) next_attempt: u64,
+    pub(super) last_attempt: u64,
     /// Callers whose stages are submitted by the next call of [`Self::actions`].
-    pub(super) to_submit: Vec<u64>,
+    pub(super) pending_submissions: Vec<u64>,
     /// Callers whose jobs are submitted again, to the same owner.
-    pub(super) to_submit_again: Vec<u64>,
+    pub(super) pending_resubmissions: Vec<u64>,
     pub(super) out: Vec<Action>,
 }
 
@@ -142,24 +142,24 @@
             backoffs: Arc::new(Backoffs::new(own)),
             limits: Arc::default(),
             turns: Turns::default(),
-            next_permit: 0,
+            last_permit: 0,
             ramps: Ramps::default(),
-            experience: Experience::default(),
-            fetches: Fetches::default(),
+            durations: Experience::default(),
+            fetch_times: Fetches::default(),
             stopping: None,
-            stages_looked_at: Timestamp::ZERO,
-            running_learnt_at: Timestamp::ZERO,
+            stages_checked_at: Timestamp::ZERO,
+            running_sampled_at: Timestamp::ZERO,
             repeats: Repeats::new(bounds),
-            processes: 1,
-            owners: KnownOwners::default(),
-            short_cells: HashMap::new(),
-            lateness: Duration::ZERO,
+            gateway_count: 1,
+            owners: OwnerRanking::default(),
+            refusing_cells: HashMap::new(),
+            event_lag: Duration::ZERO,
             resumed_at: Timestamp::ZERO,
-            late_owners: HashMap::new(),
+            peer_lags: HashMap::new(),
             suspects: Arc::default(),
-            next_attempt: 0,
-            to_submit: Vec::new(),
-            to_submit_again: Vec::new(),
+            last_attempt: 0,
+            pending_submissions: Vec::new(),
+            pending_resubmissions: Vec::new(),
             out: Vec::new(),
         }
     }
@@ -170,8 +170,8 @@
     }
 
     /// The callers of all matching requests, in an order that makes replays deterministic.
-    pub(super) fn callers_where(&self, which: impl Fn(&Request) -> bool) -> Vec<u64> {
-        let found = self.requests.iter().filter(|(_, request)| which(request));
+    pub(super) fn callers_where(&self, matches: impl Fn(&Request) -> bool) -> Vec<u64> {
+        let found = self.requests.iter().filter(|(_, request)| matches(request));
         let mut callers: Vec<u64> = found.map(|(caller, _)| *caller).collect();
         callers.sort_unstable();
         callers
@@ -200,18 +200,18 @@
         rng: &mut impl Rng,
         now: Timestamp,
     ) -> Vec<Action> {
-        self.processes = members.known();
-        for caller in std::mem::take(&mut self.to_submit) {
+        self.gateway_count = members.known();
+        for caller in std::mem::take(&mut self.pending_submissions) {
             self.submit_stages(caller, members, table, now);
         }
-        for caller in std::mem::take(&mut self.to_submit_again) {
+        for caller in std::mem::take(&mut self.pending_resubmissions) {
             self.resubmit(caller, now);
         }
         let mut actions = std::mem::take(&mut self.out);
         for action in &mut actions {
             if let Action::Refuse { refusal, .. } = action {
-                let spread = refusal.retry_after.mul_f64(rng.random_range(0.0..0.5));
-                refusal.retry_after += spread.min(longest_spread(&refusal.reason));
+                let jitter = refusal.retry_after.mul_f64(rng.random_range(0.0..0.5));
+                refusal.retry_after += jitter.min(max_jitter(&refusal.reason));
             }
         }
         actions
@@ -223,24 +223,24 @@
         caller: u64,
         incoming: IncomingRequest,
         table: &Table,
-        known: bool,
+        is_configured: bool,
         arrived: Timestamp,
         now: Timestamp,
     ) {
         let id = incoming.id.clone();
         if !self.is_open(now) {
-            self.note_closed(&id, now);
-            return self.refuse_at_door(caller, &id, Refused::Draining);
+            self.log_closed(&id, now);
+            return self.refuse_on_arrival(caller, &id, Refused::Draining);
         }
-        let request = match admissible(&incoming, table, known) {
-            Ok((route, organisation)) => self.begin(caller, incoming, route, organisation, arrived),
-            Err(reason) => return self.refuse_at_door(caller, &id, reason),
+        let request = match admissible(&incoming, table, is_configured) {
+            Ok((route, organisation)) => self.build(caller, incoming, route, organisation, arrived),
+            Err(reason) => return self.refuse_on_arrival(caller, &id, reason),
         };
-        if !self.is_taken(&request, now) {
-            return self.refuse_at_door(caller, &id, Refused::Draining);
+        if !self.can_accept(&request, now) {
+            return self.refuse_on_arrival(caller, &id, Refused::Draining);
         }
-        if let Some(retry_after) = self.too_late_for(&request, now) {
-            return self.refuse_too_late(caller, &request, retry_after);
+        if let Some(retry_after) = self.overload_retry_after(&request, now) {
+            return self.refuse_overloaded(caller, &request, retry_after);
         }
         self.out.push(Action::Log(LogEvent::Arrived {
             request: id,
@@ -250,20 +250,20 @@
             version: table.deployment.version,
             left_ms: ms(request.deadline.saturating_sub(now)),
         }));
-        if let Some(part) = self.poison_in(&request) {
-            return self.refuse_poison_at_door(caller, &request, part);
+        if let Some(part) = self.find_poison(&request) {
+            return self.refuse_poison_on_arrival(caller, &request, part);
         }
         self.timers.insert((request.deadline, caller, Timer::Deadline));
         let has_stages = request.has_stages();
         self.requests.insert(caller, request);
         if has_stages {
-            self.to_submit.push(caller);
+            self.pending_submissions.push(caller);
         } else {
             self.dispatch(caller, table, now);
         }
     }
 
-    pub(super) fn begin(
+    pub(super) fn build(
         &self,
         caller: u64,
         incoming: IncomingRequest,
@@ -271,15 +271,15 @@
         organisation: Option<&Organisation>,
         arrived: Timestamp,
     ) -> Request {
-        let allowed = incoming.timeout.unwrap_or(DEFAULT_ALLOWED).min(route.timeout);
+        let allowed = incoming.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
         let stages = route.stages.len();
         let priority = organisation.and_then(|o| o.priority).unwrap_or(route.priority);
         let homes = organisation.map_or(&[][..], |o| &o.homes);
         Request {
-            pool: target(route, &incoming.id),
+            pool: select_pool(route, &incoming.id),
             fingerprint: incoming.content.asked_by(organisation.map(|o| &*o.name)),
             organisation: organisation.map(|o| o.name.clone()),
-            homes: Homes::of(&route.homes, homes),
+            allowed_regions: Homes::of(&route.homes, homes),
             priority,
             arrived,
             deadline: arrived + allowed,
@@ -288,12 +288,12 @@
             results: vec![Vec::new(); stages],
             owner: None,
             cells: Vec::new(),
-            passed_over: Vec::new(),
+            skipped_owners: Vec::new(),
             attempt: None,
             permit: None,
             permits_asked: 0,
             sends: 0,
-            may_have_run: 0,
+            uncertain_attempts: 0,
             round: 0,
             tried: Vec::new(),
             last_event: incoming.after_event.clone(),
@@ -303,17 +303,17 @@
         }
     }
 
-    pub(super) fn refuse_at_door(&mut self, caller: u64, id: &Name, reason: Refused) {
+    pub(super) fn refuse_on_arrival(&mut self, caller: u64, id: &Name, reason: Refused) {
         let retry_after = match reason {
             Refused::NoConfiguration => RETRY_ELSEWHERE,
-            Refused::Draining => self.elsewhere(),
+            Refused::Draining => self.retry_elsewhere_after(),
             _ => Duration::ZERO,
         };
-        self.refuse_with(caller, id, reason, retry_after);
+        self.refuse_new(caller, id, reason, retry_after);
     }
 
     /// Refuses a request that has no entry in `requests` yet.
-    fn refuse_with(&mut self, caller: u64, id: &Name, reason: Refused, retry_after: Duration) {
+    fn refuse_new(&mut self, caller: u64, id: &Name, reason: Refused, retry_after: Duration) {
         self.out.push(Action::Log(LogEvent::Ended {
             request: id.clone(),
             outcome: format!("refused: {reason:?}"),
@@ -327,15 +327,15 @@
 
     /// The caller disconnected: cancels its request.
     pub fn caller_gone(&mut self, caller: u64, now: Timestamp) {
-        self.learn(caller, false, now);
-        self.hang_up(caller);
+        self.record_durations(caller, false, now);
+        self.cancel_attempt(caller);
         self.out.push(Action::AbortStream { caller });
         self.end(caller, "caller disconnected", None, now);
     }
 
     /// Runs all timers that are due.
     pub fn look(&mut self, table: &Table, now: Timestamp) {
-        self.give_up_in_stages(now);
+        self.refuse_unfinishable_stages(now);
         while let Some((at, caller, timer)) = self.timers.first().copied() {
             if at > now {
                 return;
@@ -343,9 +343,9 @@
             self.timers.remove(&(at, caller, timer));
             match timer {
                 Timer::Deadline => self.time_out(caller, now),
-                Timer::Owner(asked) => self.owner_silent(caller, asked, at, now),
-                Timer::Silence(attempt) => self.silent(caller, attempt, table, now),
-                Timer::Fetched(attempt) => self.fetched(caller, attempt),
+                Timer::OwnerDecision(asked) => self.owner_timed_out(caller, asked, at, now),
+                Timer::Response(attempt) => self.response_timed_out(caller, attempt, table, now),
+                Timer::InputsFetched(attempt) => self.inputs_fetched(caller, attempt),
             }
         }
     }
@@ -359,7 +359,7 @@
     }
 
     /// Time since `since`, or `None` if the process was suspended within that time.
-    pub(super) fn took(&self, since: Timestamp, now: Timestamp) -> Option<Duration> {
+    pub(super) fn elapsed_since(&self, since: Timestamp, now: Timestamp) -> Option<Duration> {
         (since >= self.resumed_at).then(|| now.saturating_sub(since))
     }
 
@@ -368,17 +368,17 @@
             return;
         };
         let is_streaming = request.phase == Phase::Streaming;
-        self.learn(caller, false, now);
+        self.record_durations(caller, false, now);
         if is_streaming {
             return self.abort(caller, "timed out", now);
         }
         self.refuse(caller, Refused::TimedOut, RETRY_SOON, now);
     }
 
-    pub(super) fn abort(&mut self, caller: u64, why: &str, now: Timestamp) {
-        self.hang_up(caller);
+    pub(super) fn abort(&mut self, caller: u64, cause: &str, now: Timestamp) {
+        self.cancel_attempt(caller);
         self.out.push(Action::AbortStream { caller });
-        self.end(caller, &format!("aborted: {why}"), None, now);
+        self.end(caller, &format!("aborted: {cause}"), None, now);
     }
 
     /// Ends a request with a refusal; aborts it if its answer is already being streamed.
@@ -395,8 +395,8 @@
         if request.phase == Phase::Streaming {
             return self.abort(caller, "refused while streaming", now);
         }
-        let in_doubt = request.may_have_run > 0 || request.attempt.is_some();
-        self.hang_up(caller);
+        let in_doubt = request.uncertain_attempts > 0 || request.attempt.is_some();
+        self.cancel_attempt(caller);
         let refusal = Refusal { reason, not_run: !in_doubt, retry_after };
         let outcome = format!("refused: {:?}", refusal.reason);
         self.out.push(Action::Refuse { caller, refusal });
@@ -454,9 +454,9 @@
 }
 
 /// Upper bound of the jitter that keeps callers refused together from retrying together.
-const fn longest_spread(reason: &Refused) -> Duration {
+const fn max_jitter(reason: &Refused) -> Duration {
     match reason {
-        Refused::AllPaused | Refused::AllLimited | Refused::NoEndpoint => PAUSE_SPREAD,
+        Refused::AllPaused | Refused::AllLimited | Refused::NoEndpoint => MAX_PAUSE_JITTER,
         _ => Duration::MAX,
     }
 }
@@ -467,9 +467,9 @@
 fn admissible<'a>(
     incoming: &IncomingRequest,
     table: &'a Table,
-    known: bool,
+    is_configured: bool,
 ) -> Result<Admissible<'a>, Refused> {
-    if !known {
+    if !is_configured {
         return Err(Refused::NoConfiguration);
     }
     let route = table.route(&incoming.host, &incoming.path).ok_or(Refused::UnknownRoute)?;
@@ -485,7 +485,7 @@
 }
 
 /// Selects the pool of a request from the weighted targets of its route by a hash of its id.
-fn target(route: &Route, id: &str) -> Name {
+fn select_pool(route: &Route, id: &str) -> Name {
     let total: u64 = route.targets.iter().map(|t| u64::from(t.weight)).sum();
     let mut left = xxh3_64(id.as_bytes()) % total.max(1);
     for target in &route.targets {
--- a/src/direct/requests/patience.rs
+++ b/src/direct/requests/overload.rs
@@ -17,63 +17,68 @@
 
 /// Number of events that this process handles between a request and its answer: the call and its
 /// result.
-const EVENTS: u32 = 2;
+const EVENTS_PER_REQUEST: u32 = 2;
 /// Additional events of a request with stages: submission, the owner's decision, the last results.
-const EVENTS_OF_STAGES: u32 = 3;
+const EVENTS_FOR_STAGES: u32 = 3;
 /// Multiple of the event lag that an owner's decision may take: it involves two events, and
 /// messages wait to be read.
-const OWNER_EVENTS: u32 = 3;
+const EVENTS_PER_DECISION: u32 = 3;
 /// How long a reported event lag is used; gateways report it five times a second.
-const TOLD_KEPT: Duration = Duration::from_secs(1);
+const LAG_REPORT_TTL: Duration = Duration::from_secs(1);
 /// Maximum timeout extension for an owner: within that time failed owners are detected by other
 /// means.
-const LONGEST_PATIENCE: Duration = Duration::from_millis(1_200);
+const MAX_TIMEOUT_EXTENSION: Duration = Duration::from_millis(1_200);
 /// Minimum delay after which callers should retry at an overloaded process.
-const SHORTEST_RETRY: Duration = Duration::from_millis(150);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(150);
 
 /// Event lag that a gateway reported, and when.
-pub(super) type Told = (Duration, Timestamp);
+pub(super) type ReportedLag = (Duration, Timestamp);
 
 impl Requests {
     /// Sets the event lag of this process.
-    pub fn set_lateness(&mut self, lateness: Duration) {
-        self.lateness = lateness;
+    pub fn set_lateness(&mut self, event_lag: Duration) {
+        self.event_lag = event_lag;
     }
 
     /// Another gateway reported its event lag.
-    pub fn told_lateness(&mut self, gateway: SocketAddr, lateness: Duration, now: Timestamp) {
-        if lateness < SHORT {
-            self.late_owners.remove(&gateway);
+    pub fn told_lateness(&mut self, gateway: SocketAddr, event_lag: Duration, now: Timestamp) {
+        if event_lag < SHORT {
+            self.peer_lags.remove(&gateway);
         } else {
-            self.late_owners.insert(gateway, (lateness, now));
+            self.peer_lags.insert(gateway, (event_lag, now));
         }
     }
 
     /// Additional time for an owner's decision, by its event lag and that of this process.
-    pub(super) fn patience_with(&self, owner: SocketAddr, now: Timestamp) -> Duration {
-        let told = self.late_owners.get(&owner).filter(|(_, at)| now < *at + TOLD_KEPT);
-        let told = told.map_or(Duration::ZERO, |(late, _)| *late * OWNER_EVENTS);
-        (told + self.lateness).min(LONGEST_PATIENCE)
+    pub(super) fn owner_timeout_extension(&self, owner: SocketAddr, now: Timestamp) -> Duration {
+        let reported = self.peer_lags.get(&owner).filter(|(_, at)| now < *at + LAG_REPORT_TTL);
+        let reported = reported.map_or(Duration::ZERO, |(lag, _)| *lag * EVENTS_PER_DECISION);
+        (reported + self.event_lag).min(MAX_TIMEOUT_EXTENSION)
     }
 
     /// If the event lag is too high to answer a new request before its deadline, the delay after
     /// which its caller should retry. Such a request is refused before it runs, rather than held
     /// until it times out.
-    pub(super) fn too_late_for(&self, request: &Request, now: Timestamp) -> Option<Duration> {
-        if self.lateness < SHORT {
+    pub(super) fn overload_retry_after(
+        &self,
+        request: &Request,
+        now: Timestamp,
+    ) -> Option<Duration> {
+        if self.event_lag < SHORT {
             return None;
         }
-        let stages = if request.has_stages() { EVENTS_OF_STAGES } else { 0 };
+        let stages = if request.has_stages() { EVENTS_FOR_STAGES } else { 0 };
         let route = &request.route;
-        let usual =
-            self.experience.expected(&route.name, Part::Whole, request.size(), Sure::Usually);
-        let usual = usual.filter(|_| !route.streams).unwrap_or_default();
-        let answered = now + self.lateness * (EVENTS + stages) + usual;
-        (answered > request.deadline).then(|| (self.lateness * EVENTS).max(SHORTEST_RETRY))
+        let typical =
+            self.durations.expected(&route.name, Part::Whole, request.size(), Sure::Usually);
+        let typical = typical.filter(|_| !route.streams).unwrap_or_default();
+        let answered = now + self.event_lag * (EVENTS_PER_REQUEST + stages) + typical;
+        (answered > request.deadline)
+            .then(|| (self.event_lag * EVENTS_PER_REQUEST).max(MIN_RETRY_AFTER))
     }
 
     /// Refuses a new request that can't be answered in time because this process is overloaded.
-    pub(super) fn refuse_too_late(&mut self, caller: u64, request: &Request, retry: Duration) {
-        self.refuse_with(caller, &request.incoming.id, Refused::Overloaded, retry);
+    pub(super) fn refuse_overloaded(&mut self, caller: u64, request: &Request, retry: Duration) {
+        self.refuse_new(caller, &request.incoming.id, Refused::Overloaded, retry);
     }
 }
--- a/src/direct/requests/owners.rs
+++ b/src/direct/requests/owners.rs
@@ -20,20 +20,20 @@
 const MAX_CELLS: usize = 2;
 /// Maximum time for which a cell counts as refusing. Calls end there every few milliseconds, which
 /// frees capacity.
-const SHORT: Duration = Duration::from_millis(100);
+const REFUSAL_TTL: Duration = Duration::from_millis(100);
 
 /// The owners of all cells and their successors. Ranked once for each change of the members or
 /// cells rather than for each request.
 #[derive(Debug, Default)]
-pub(super) struct KnownOwners {
+pub(super) struct OwnerRanking {
     changes: Option<u64>,
     cells: Cells,
     ranked: BTreeMap<Name, Vec<Member>>,
 }
 
-impl KnownOwners {
+impl OwnerRanking {
     /// Updates the ranking if members or cells changed.
-    pub(super) fn learn(&mut self, members: &Members, table: &Table) {
+    pub(super) fn update(&mut self, members: &Members, table: &Table) {
         let changes = Some(members.changes());
         if self.changes == changes && self.cells == *table.cells() {
             return;
@@ -45,9 +45,9 @@
     }
 
     /// The first owner of a cell that is not among the skipped ones.
-    pub(super) fn of_cell(&self, cell: &str, passed_over: &[SocketAddr]) -> Option<Member> {
+    pub(super) fn owner_of(&self, cell: &str, skipped_owners: &[SocketAddr]) -> Option<Member> {
         let ranked = self.ranked.get(cell)?;
-        ranked.iter().find(|o| !passed_over.contains(&o.address)).cloned()
+        ranked.iter().find(|o| !skipped_owners.contains(&o.address)).cloned()
     }
 }
 
@@ -76,8 +76,10 @@
         table: &Table,
         now: Timestamp,
     ) -> Option<Name> {
-        let is_short = |cell: &Name| self.short_cells.get(cell).is_some_and(|until| now < *until);
-        let others = table.cells().names().filter(|cell| !tried.contains(cell) && !is_short(cell));
+        let is_refusing =
+            |cell: &Name| self.refusing_cells.get(cell).is_some_and(|until| now < *until);
+        let others =
+            table.cells().names().filter(|cell| !tried.contains(cell) && !is_refusing(cell));
         let others: Vec<&Name> = others.collect();
         let index = xxh3_64(request.as_bytes()) % others.len().max(1) as u64;
         others.get(index as usize).map(|cell| (*cell).clone())
@@ -85,7 +87,7 @@
 
     /// Selects another cell for a job that its cell refused without starting it. Returns whether
     /// there is one.
-    pub(super) fn goes_to_another_cell(
+    pub(super) fn try_another_cell(
         &mut self,
         caller: u64,
         reason: JobReason,
@@ -93,17 +95,17 @@
         table: &Table,
         now: Timestamp,
     ) -> bool {
-        let is_short =
+        let lacks_capacity =
             matches!(reason, JobReason::WouldBeLate | JobReason::NoRoom | JobReason::NoEndpoint);
-        let Some(request) = self.requests.get(&caller).filter(|_| is_short) else {
+        let Some(request) = self.requests.get(&caller).filter(|_| lacks_capacity) else {
             return false;
         };
-        let may_go = request.cells.len() < MAX_CELLS && !request.holds_results;
+        let can_move = request.cells.len() < MAX_CELLS && !request.holds_results;
         let other = self.other_cell(&request.incoming.id, &request.cells, table, now);
         if let Some(last) = request.cells.last() {
-            self.short_cells.insert(last.clone(), now + retry_after.min(SHORT));
+            self.refusing_cells.insert(last.clone(), now + retry_after.min(REFUSAL_TTL));
         }
-        let Some(other) = other.filter(|_| may_go) else {
+        let Some(other) = other.filter(|_| can_move) else {
             return false;
         };
         if let Some(request) = self.requests.get_mut(&caller) {
--- a/src/direct/requests/permits.rs
+++ b/src/direct/requests/permits.rs
@@ -15,17 +15,17 @@
 
 /// Share of a request's remaining time that it may wait for a permit if all its endpoints have rate
 /// limits. The rest is reserved for its run.
-const TIME_TO_WAIT: f64 = 0.5;
+const MAX_WAIT_SHARE: f64 = 0.5;
 /// Maximum number of permits asked for one request.
-const MOST_ASKED: u32 = 8;
+const MAX_PERMITS_ASKED: u32 = 8;
 
 /// A permit that a request waits for.
 #[derive(Debug, Clone)]
-pub struct Awaited {
+pub struct AwaitedPermit {
     /// Number of the permit, unique among all that this gateway's requests asked for.
     pub number: u64,
     /// Why the endpoint was selected.
-    because: &'static str,
+    reason: &'static str,
     /// Number of endpoints that were available for the selection.
     candidates: usize,
     endpoint: Arc<Endpoint>,
@@ -33,8 +33,8 @@
 
 impl Request {
     /// Maximum time to wait for a permit.
-    pub(super) fn time_to_wait(&self, now: Timestamp) -> Duration {
-        self.deadline.saturating_sub(now).mul_f64(TIME_TO_WAIT)
+    pub(super) fn max_permit_wait(&self, now: Timestamp) -> Duration {
+        self.deadline.saturating_sub(now).mul_f64(MAX_WAIT_SHARE)
     }
 }
 
@@ -51,23 +51,24 @@
 
     /// Asks for a permit. The request continues with the decision.
     pub(super) fn await_permit(&mut self, caller: u64, choice: Choice, now: Timestamp) {
-        let Choice { endpoint, because, candidates, wait } = choice;
+        let Choice { endpoint, reason, candidates, wait } = choice;
         let Some(request) = self.requests.get_mut(&caller) else {
             return;
         };
-        if request.permits_asked >= MOST_ASKED {
+        if request.permits_asked >= MAX_PERMITS_ASKED {
             return self.refuse(caller, Refused::AllLimited, RETRY_SOON, now);
         }
         request.permits_asked += 1;
-        self.next_permit += 1;
-        let number = self.next_permit;
+        self.last_permit += 1;
+        let number = self.last_permit;
         let priority = request.priority;
-        request.permit = Some(Awaited { number, because, candidates, endpoint: endpoint.clone() });
+        request.permit =
+            Some(AwaitedPermit { number, reason, candidates, endpoint: endpoint.clone() });
         let purpose = Purpose::Request { caller, number };
         self.out.push(Action::RequestPermit(Wanted { endpoint, purpose, priority, wait }));
     }
 
-    fn take_awaited(&mut self, caller: u64, number: u64) -> Option<Awaited> {
+    fn take_awaited(&mut self, caller: u64, number: u64) -> Option<AwaitedPermit> {
         self.requests.get_mut(&caller)?.permit.take_if(|awaited| awaited.number == number)
     }
 
@@ -84,30 +85,30 @@
         let Some(awaited) = self.take_awaited(caller, number) else {
             return;
         };
-        let Awaited { endpoint, because, candidates, .. } = awaited;
-        if !self.may_go_on(caller, now) {
+        let AwaitedPermit { endpoint, reason, candidates, .. } = awaited;
+        if !self.check_before_send(caller, now) {
             return;
         }
-        if !self.is_as_chosen(caller, &endpoint, table, now) {
+        if !self.is_still_available(caller, &endpoint, table, now) {
             return self.dispatch(caller, table, now);
         }
-        let choice = Choice { endpoint, because, candidates, wait: Duration::ZERO };
+        let choice = Choice { endpoint, reason, candidates, wait: Duration::ZERO };
         self.send(caller, choice, Some(until), table, now);
     }
 
     /// Whether an endpoint is still available to a request, regardless of its rate limit.
-    fn is_as_chosen(
+    fn is_still_available(
         &self,
         caller: u64,
         endpoint: &Endpoint,
         table: &Table,
         now: Timestamp,
     ) -> bool {
-        let there = table.endpoint(&endpoint.id);
-        let is_there = there.is_some_and(|e| e.incarnation == endpoint.incarnation && !e.leaving);
+        let listed = table.endpoint(&endpoint.id);
+        let is_listed = listed.is_some_and(|e| e.incarnation == endpoint.incarnation && !e.leaving);
         let request = self.requests.get(&caller);
-        let bears = request.and_then(|r| table.pool(&r.pool)).and_then(|pool| pool.cold);
-        is_there && self.closed_to_all(endpoint, bears, now).is_none()
+        let cold_start = request.and_then(|r| table.pool(&r.pool)).and_then(|pool| pool.cold);
+        is_listed && self.unavailability_for_all(endpoint, cold_start, now).is_none()
     }
 
     /// A permit was refused. Requests of the same priority can expect one at `turn`.
--- a/src/direct/requests/poison.rs
+++ b/src/direct/requests/poison.rs
@@ -17,25 +17,25 @@
     }
 
     /// The quarantined fingerprint of a request or of one of its stages, if there is one.
-    pub(super) fn poison_in(&self, request: &Request) -> Option<Fingerprint> {
+    pub(super) fn find_poison(&self, request: &Request) -> Option<Fingerprint> {
         self.suspects.poison_in(request.fingerprint, request.route.stages.len())
     }
 
     /// Refuses a new request as poison. Its caller should retry when the quarantine expires; an
     /// earlier retry would be refused again.
-    pub(super) fn refuse_poison_at_door(
+    pub(super) fn refuse_poison_on_arrival(
         &mut self,
         caller: u64,
         request: &Request,
         part: Fingerprint,
     ) {
         self.out.push(Action::PoisonReport(Report::Refused(part)));
-        self.refuse_with(caller, &request.incoming.id, Refused::Poison, KEPT);
+        self.refuse_new(caller, &request.incoming.id, Refused::Poison, KEPT);
     }
 
     /// Refuses a request if it is quarantined by now; returns whether it is.
-    pub(super) fn is_refused_as_poison(&mut self, caller: u64, now: Timestamp) -> bool {
-        let part = self.requests.get(&caller).and_then(|request| self.poison_in(request));
+    pub(super) fn refuse_if_poison(&mut self, caller: u64, now: Timestamp) -> bool {
+        let part = self.requests.get(&caller).and_then(|request| self.find_poison(request));
         let Some(part) = part else {
             return false;
         };
@@ -52,7 +52,7 @@
             return;
         }
         for caller in self.callers_where(|r| r.phase != Phase::Streaming) {
-            self.is_refused_as_poison(caller, now);
+            self.refuse_if_poison(caller, now);
         }
     }
 
@@ -60,7 +60,7 @@
     /// that crashed under the request so far. Includes crashes under this request that may not be
     /// confirmed yet.
     pub(super) fn next_round(&self, request: &Request) -> u8 {
-        let own = if request.may_have_run > 0 { request.round } else { 0 };
+        let own = if request.uncertain_attempts > 0 { request.round } else { 0 };
         self.suspects.rounds(request.fingerprint).max(own).saturating_add(1)
     }
 
@@ -69,9 +69,10 @@
     /// would move to the same next endpoint, since they share prompt prefixes and the same view of
     /// the load. In 200 random schedules 52 innocent requests of some 235,000 were refused without
     /// this, and 4 with it.
-    pub(super) fn set_apart(&self, request: &Request) -> Option<String> {
-        let is_apart = request.may_have_run > 0 || self.suspects.knows(request.fingerprint);
-        is_apart.then(|| request.fingerprint.to_string())
+    pub(super) fn isolation_key(&self, request: &Request) -> Option<String> {
+        let is_isolated =
+            request.uncertain_attempts > 0 || self.suspects.knows(request.fingerprint);
+        is_isolated.then(|| request.fingerprint.to_string())
     }
 
     /// A call ended without a response.
@@ -89,7 +90,7 @@
     }
 
     /// Cancels the open call, if there is one.
-    pub(super) fn hang_up(&mut self, caller: u64) {
+    pub(super) fn cancel_attempt(&mut self, caller: u64) {
         if let Some(attempt) = self.close_attempt(caller) {
             self.out.push(Action::CancelAttempt { caller, attempt: attempt.number });
             self.report_unanswered(caller, &attempt, Unanswered::GivenUp);
--- a/src/direct/requests/request.rs
+++ b/src/direct/requests/request.rs
@@ -9,16 +9,16 @@
 use crate::direct::poison::fingerprint::Fingerprint;
 use crate::direct::published::homes::Homes;
 use crate::direct::published::model::{Endpoint, Name, Repeat, Route};
-use crate::direct::requests::permits::Awaited;
+use crate::direct::requests::permits::AwaitedPermit;
 use crate::message::Timestamp;
 
 /// Initial estimate of the time to the first event, excluding the time to read the prompt.
-const START_TIME: Duration = Duration::from_millis(80);
+const INITIAL_START_TIME: Duration = Duration::from_millis(80);
 /// Estimated time that a busy engine needs to read one prompt token.
-const TOKEN_TIME: Duration = Duration::from_micros(30);
+const PROMPT_TOKEN_TIME: Duration = Duration::from_micros(30);
 
 /// Number of prompt tokens that take as long to read as one output token takes to generate.
-const PROMPT_TOKENS: u64 = 200;
+const PROMPT_TOKENS_PER_OUTPUT_TOKEN: u64 = 200;
 
 /// Phase of a request.
 #[derive(Debug, Clone, PartialEq)]
@@ -48,9 +48,9 @@
     /// Endpoint of the call.
     pub endpoint: Arc<Endpoint>,
     /// When the call was ordered from the shell.
-    pub ordered: Timestamp,
+    pub ordered_at: Timestamp,
     /// When the call was sent over an established connection; set only for calls that need results.
-    pub sent: Option<Timestamp>,
+    pub sent_at: Option<Timestamp>,
 }
 
 /// A caller's request.
@@ -67,7 +67,7 @@
     /// Fingerprint of the request's content and organisation.
     pub fingerprint: Fingerprint,
     /// Regions where the request may run.
-    pub homes: Homes,
+    pub allowed_regions: Homes,
     /// Priority; 0 is the most urgent.
     pub priority: u8,
     /// When the request arrived.
@@ -85,17 +85,17 @@
     /// Cells that the stages were submitted to, in order.
     pub cells: Vec<Name>,
     /// Owners that were asked and did not complete the stages.
-    pub passed_over: Vec<SocketAddr>,
+    pub skipped_owners: Vec<SocketAddr>,
     /// The open call.
     pub attempt: Option<Attempt>,
     /// The permit that the request waits for.
-    pub permit: Option<Awaited>,
+    pub permit: Option<AwaitedPermit>,
     /// Number of permits that were asked for.
     pub permits_asked: u32,
     /// Number of calls that were ordered.
     pub sends: u32,
     /// Number of calls that failed and may have run.
-    pub may_have_run: u32,
+    pub uncertain_attempts: u32,
     /// Crash round of the last call; see [`crate::direct::poison::Run`].
     pub round: u8,
     /// Endpoints that the request was sent to.
@@ -113,12 +113,12 @@
     }
 
     /// Whether the stages were submitted and their results have been freed since.
-    pub fn lacks_results(&self) -> bool {
+    pub fn results_freed(&self) -> bool {
         self.has_stages() && !self.holds_results
     }
 
     /// Whether the stages are with this owner now.
-    pub fn is_with(&self, address: SocketAddr) -> bool {
+    pub fn is_with_owner(&self, address: SocketAddr) -> bool {
         matches!(self.phase, Phase::Stages { owner, .. } if owner == address)
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// The last part of the prompt that other requests share: the last but one, or the only one.
-    pub fn shared_part(&self) -> Option<&str> {
+    pub fn shared_prompt_part(&self) -> Option<&str> {
         let parts = &self.incoming.generation.as_ref()?.parts;
         let shared = if parts.len() > 1 { &parts[parts.len() - 2] } else { parts.last()? };
         Some(&shared.0)
@@ -138,14 +138,16 @@
     pub fn expected_start(&self) -> Duration {
         let generation = self.incoming.generation.as_ref();
         let own = generation.and_then(|g| g.parts.last()).map_or(0, |p| p.1);
-        START_TIME + TOKEN_TIME * u32::try_from(own).unwrap_or(u32::MAX)
+        INITIAL_START_TIME + PROMPT_TOKEN_TIME * u32::try_from(own).unwrap_or(u32::MAX)
     }
 
     /// Expected length of the run: the maximum of output tokens plus the prompt, converted to
     /// output tokens.
     pub fn size(&self) -> u64 {
         let generation = self.incoming.generation.as_ref();
-        generation.map_or(1, |g| g.output_tokens.max(1) + g.prompt_tokens / PROMPT_TOKENS)
+        generation.map_or(1, |g| {
+            g.output_tokens.max(1) + g.prompt_tokens / PROMPT_TOKENS_PER_OUTPUT_TOKEN
+        })
     }
 
     /// The results that the run needs, in order.
@@ -162,7 +164,7 @@
     }
 
     /// Time without a response after which a repeatable call counts as silent.
-    pub fn patience(&self) -> Duration {
+    pub fn response_timeout(&self) -> Duration {
         if self.route.streams {
             self.route.objective.mul_f64(1.2)
         } else {
@@ -172,7 +174,7 @@
 
     /// Gateways that may hold results for the request: skipped owners and the current one.
     pub fn owners(&self) -> Vec<SocketAddr> {
-        let mut owners = self.passed_over.clone();
+        let mut owners = self.skipped_owners.clone();
         owners.extend(self.owner);
         owners
     }
--- a/src/direct/requests/stages.rs
+++ b/src/direct/requests/stages.rs
@@ -9,17 +9,17 @@
 use crate::direct::peers::message::{Job, JobId, JobReason, JobStage, Made, PeerMessage};
 use crate::direct::published::model::Name;
 use crate::direct::published::table::Table;
-use crate::direct::requests::choice::NoPlace;
+use crate::direct::requests::choice::Unplaced;
 use crate::direct::requests::experience::Part;
 use crate::direct::requests::request::{Phase, Request};
 use crate::direct::requests::{RETRY_SOON, Requests, Timer};
 use crate::message::Timestamp;
 
 /// Time after which an owner that has not decided on stages is skipped.
-const OWNER_PATIENCE: Duration = Duration::from_millis(250);
+const OWNER_TIMEOUT: Duration = Duration::from_millis(250);
 /// Lateness of a timer from which on the process is assumed to have been suspended, so that answers
 /// may still wait to be read.
-const STOOD_STILL: Duration = Duration::from_millis(40);
+const MAX_TIMER_LATENESS: Duration = Duration::from_millis(40);
 /// Maximum number of owners that are asked.
 pub(super) const MAX_OWNERS: usize = 3;
 
@@ -50,23 +50,23 @@
         let place = match self.choose(request, table, now) {
             Ok(choice) => choice.endpoint.data_centre.clone(),
             // The endpoint becomes available before the shortest possible run of the stages ends.
-            Err(NoPlace::AllPaused { for_at_least } | NoPlace::AllLimited { for_at_least })
-                if for_at_least < shortest_stages(request, table) =>
+            Err(Unplaced::AllPaused { min_wait } | Unplaced::AllLimited { min_wait })
+                if min_wait < min_stages_time(request, table) =>
             {
                 self.data_centre.clone()
             }
-            Err(no_place) => return self.refuse_without_place(caller, no_place, now),
+            Err(unplaced) => return self.refuse_unplaced(caller, unplaced, now),
         };
-        self.owners.learn(members, table);
+        self.owners.update(members, table);
         let cell = self.cell_for(caller, &place, table);
         let Some(request) = self.requests.get_mut(&caller) else {
             return;
         };
-        let owner = self.owners.of_cell(&cell, &request.passed_over);
-        let tried = request.passed_over.len();
+        let owner = self.owners.owner_of(&cell, &request.skipped_owners);
+        let tried = request.skipped_owners.len();
         let Some(owner) = owner.filter(|_| tried < MAX_OWNERS) else {
             let (reason, retry_after) = match self.stopping {
-                Some(_) => (Refused::Draining, self.elsewhere()),
+                Some(_) => (Refused::Draining, self.retry_elsewhere_after()),
                 None => (Refused::NoEndpoint, RETRY_SOON),
             };
             return self.refuse(caller, reason, retry_after, now);
@@ -80,10 +80,10 @@
         };
         request.holds_results = true;
         request.owner = Some(owner.address);
-        let job = job_of(request, resubmitted, place, now);
+        let job = build_job(request, resubmitted, place, now);
         self.by_job.insert(request.job, caller);
-        let timer = Timer::Owner(tried as u32);
-        self.timers.insert((now + OWNER_PATIENCE, caller, timer));
+        let timer = Timer::OwnerDecision(tried as u32);
+        self.timers.insert((now + OWNER_TIMEOUT, caller, timer));
         self.out.push(Action::Log(LogEvent::StagesSubmitted {
             request: request.incoming.id.clone(),
             owner: owner.address,
@@ -97,7 +97,7 @@
     /// Messages to or from this owner may be lost: submits the jobs that it has again, and it
     /// answers with their state.
     pub fn submit_again(&mut self, owner: SocketAddr) {
-        self.to_submit_again.extend(self.callers_where(|r| r.is_with(owner)));
+        self.pending_resubmissions.extend(self.callers_where(|r| r.is_with_owner(owner)));
     }
 
     /// Submits a job again to the owner that has it.
@@ -109,7 +109,7 @@
         let Phase::Stages { owner, .. } = request.phase else {
             return;
         };
-        let job = job_of(request, true, data_centre, now);
+        let job = build_job(request, true, data_centre, now);
         let message = PeerMessage::Submit(Box::new(job));
         self.out.push(Action::Send { to: owner, message });
     }
@@ -150,12 +150,12 @@
         if !request.has_all_results() {
             // A message was lost; the next owner continues with the results received so far.
             self.out.push(Action::Send { to: from, message: PeerMessage::Release(job) });
-            return self.pass_over(caller, from);
+            return self.skip_owner(caller, from);
         }
         request.phase = Phase::Running;
         let (route, arrived) = (request.route.name.clone(), request.arrived);
-        if let Some(took) = self.took(arrived, now) {
-            self.experience.took(&route, Part::Stages, 1, took);
+        if let Some(took) = self.elapsed_since(arrived, now) {
+            self.durations.took(&route, Part::Stages, 1, took);
         }
         self.dispatch(caller, table, now);
     }
@@ -181,70 +181,76 @@
             request: id,
             reason: format!("{reason:?}"),
         }));
-        if untouched && self.goes_to_another_cell(caller, reason, retry_after, table, now) {
-            return self.to_submit.push(caller);
+        if untouched && self.try_another_cell(caller, reason, retry_after, table, now) {
+            return self.pending_submissions.push(caller);
         }
         match reason {
-            JobReason::NotOwner => self.pass_over(caller, from),
+            JobReason::NotOwner => self.skip_owner(caller, from),
             JobReason::NoEndpoint => self.refuse(caller, Refused::NoEndpoint, retry_after, now),
             JobReason::DeadlinePassed => self.refuse(caller, Refused::TimedOut, RETRY_SOON, now),
-            _ if self.is_refused_as_poison(caller, now) => {}
+            _ if self.refuse_if_poison(caller, now) => {}
             _ => self.refuse(caller, Refused::Overloaded, retry_after, now),
         }
     }
 
-    pub(super) fn pass_over(&mut self, caller: u64, owner: SocketAddr) {
+    pub(super) fn skip_owner(&mut self, caller: u64, owner: SocketAddr) {
         if let Some(request) = self.requests.get_mut(&caller) {
-            request.passed_over.push(owner);
-            self.to_submit.push(caller);
+            request.skipped_owners.push(owner);
+            self.pending_submissions.push(caller);
         }
     }
 
     /// An owner failed: its jobs are submitted to other owners.
-    pub fn owner_lost(&mut self, address: SocketAddr, lost: u64) {
-        self.late_owners.remove(&address);
+    pub fn owner_lost(&mut self, address: SocketAddr, incarnation: u64) {
+        self.peer_lags.remove(&address);
         let with_owner = self.callers_where(|r| {
-            let life = match r.phase {
+            let owner_incarnation = match r.phase {
                 Phase::Stages { incarnation, .. } => Some(incarnation),
                 _ => None,
             };
-            r.is_with(address) && life == Some(lost)
+            r.is_with_owner(address) && owner_incarnation == Some(incarnation)
         });
         for caller in with_owner {
-            self.pass_over(caller, address);
+            self.skip_owner(caller, address);
         }
     }
 
     /// The owner's decision was due at `at`.
-    pub(super) fn owner_silent(&mut self, caller: u64, asked: u32, at: Timestamp, now: Timestamp) {
+    pub(super) fn owner_timed_out(
+        &mut self,
+        caller: u64,
+        asked: u32,
+        at: Timestamp,
+        now: Timestamp,
+    ) {
         let Some(request) = self.requests.get(&caller) else {
             return;
         };
         let Phase::Stages { owner, submitted, accepted: false, .. } = request.phase else {
             return;
         };
-        if request.passed_over.len() as u32 != asked {
+        if request.skipped_owners.len() as u32 != asked {
             return;
         }
-        let until = submitted + OWNER_PATIENCE + self.patience_with(owner, now);
+        let until = submitted + OWNER_TIMEOUT + self.owner_timeout_extension(owner, now);
         if now < until {
             // The owner is overloaded, not failed; another owner would run the same stages again.
-            self.timers.insert((until, caller, Timer::Owner(asked)));
+            self.timers.insert((until, caller, Timer::OwnerDecision(asked)));
             return;
         }
-        if now > at + STOOD_STILL {
-            let timer = Timer::Owner(asked);
-            self.timers.insert((now + OWNER_PATIENCE, caller, timer));
+        if now > at + MAX_TIMER_LATENESS {
+            let timer = Timer::OwnerDecision(asked);
+            self.timers.insert((now + OWNER_TIMEOUT, caller, timer));
             return;
         }
         let message = PeerMessage::Release(request.job);
         self.out.push(Action::Send { to: owner, message });
-        self.pass_over(caller, owner);
+        self.skip_owner(caller, owner);
     }
 }
 
 /// Minimum duration of a request's stages: the calls on the longest path of the stage graph.
-fn shortest_stages(request: &Request, table: &Table) -> Duration {
+fn min_stages_time(request: &Request, table: &Table) -> Duration {
     let mut ends: Vec<Duration> = Vec::with_capacity(request.route.stages.len());
     for (stage, spec) in request.route.stages.iter().enumerate() {
         let begins = spec.after.iter().filter_map(|&after| ends.get(after)).max().copied();
@@ -256,7 +262,7 @@
     ends.into_iter().max().unwrap_or_default()
 }
 
-fn job_of(request: &Request, resubmitted: bool, data_centre: Name, now: Timestamp) -> Job {
+fn build_job(request: &Request, resubmitted: bool, data_centre: Name, now: Timestamp) -> Job {
     let specs = request.route.stages.iter().enumerate();
     let stages = specs.map(|(i, spec)| JobStage {
         pool: spec.pool.clone(),
@@ -278,7 +284,7 @@
         after: request.expected_start(),
         priority: request.priority,
         data_centre,
-        homes: request.homes.clone(),
+        homes: request.allowed_regions.clone(),
         resubmitted,
         fingerprint: request.fingerprint,
     }
--- a/src/direct/requests/stopping.rs
+++ b/src/direct/requests/stopping.rs
@@ -12,9 +12,9 @@
 use crate::message::Timestamp;
 
 /// Interval between checks of the requests that wait for their stages.
-const LOOK: Duration = Duration::from_millis(50);
+const STAGES_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Interval at which a stopping process records the durations of running requests.
-const LEARN: Duration = Duration::from_secs(1);
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// State of the stopping process that decisions on requests depend on.
 #[derive(Debug, Clone, Copy)]
@@ -29,25 +29,25 @@
 
 /// Phase of a request at which it is checked whether it can finish.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum At {
-    Door,
+pub(super) enum Checkpoint {
+    Arrival,
     Stages,
     Dispatch,
 }
 
-impl At {
+impl Checkpoint {
     const fn as_str(self) -> &'static str {
         match self {
-            Self::Door => "door",
+            Self::Arrival => "door",
             Self::Stages => "stages",
             Self::Dispatch => "dispatch",
         }
     }
 
     /// The span of the request that is still ahead.
-    const fn rest(self) -> Part {
+    const fn remaining_span(self) -> Part {
         match self {
-            Self::Door => Part::Whole,
+            Self::Arrival => Part::Whole,
             Self::Stages | Self::Dispatch => Part::Run,
         }
     }
@@ -57,22 +57,22 @@
     /// The process is stopping; called again with each event to update the state.
     pub fn stopping(&mut self, stopping: Stopping, now: Timestamp) {
         self.stopping = Some(stopping);
-        if now >= self.running_learnt_at + LEARN {
-            self.running_learnt_at = now;
-            self.learn_from_running(now);
+        if now >= self.running_sampled_at + SAMPLE_INTERVAL {
+            self.running_sampled_at = now;
+            self.record_running(now);
         }
     }
 
     /// Records the durations so far of running requests. Long requests end last; without this only
     /// short ones would be recorded.
-    fn learn_from_running(&mut self, now: Timestamp) {
+    fn record_running(&mut self, now: Timestamp) {
         for caller in self.callers_where(|_| true) {
-            self.learn(caller, false, now);
+            self.record_durations(caller, false, now);
         }
     }
 
     /// Delay after which callers refused by an unconfigured or stopping process should retry.
-    pub(super) fn elsewhere(&self) -> Duration {
+    pub(super) fn retry_elsewhere_after(&self) -> Duration {
         self.stopping.map_or(crate::direct::requests::RETRY_ELSEWHERE, |s| s.come_back_after)
     }
 
@@ -87,42 +87,52 @@
 
     /// Whether the answer of a request will be complete before the process ends, by its deadline or
     /// the expected duration, with the log event of that decision.
-    fn can_end(&self, request: &Request, at: At, now: Timestamp) -> (bool, Option<LogEvent>) {
+    fn can_finish(
+        &self,
+        request: &Request,
+        at: Checkpoint,
+        now: Timestamp,
+    ) -> (bool, Option<LogEvent>) {
         let Some(Stopping { stop, others_serve, .. }) = self.stopping else {
             return (true, None);
         };
-        let sure = must_be(stop.elapsed(now), at == At::Door, request.route.streams, others_serve);
-        let waits = request.deadline.saturating_sub(now);
+        let confidence = must_be(
+            stop.elapsed(now),
+            at == Checkpoint::Arrival,
+            request.route.streams,
+            others_serve,
+        );
+        let time_left = request.deadline.saturating_sub(now);
         let (route, size) = (&request.route.name, request.size());
-        let expected = self.experience.expected(route, at.rest(), size, sure);
+        let expected = self.durations.expected(route, at.remaining_span(), size, confidence);
         // A young process has no samples. Where a typical duration would suffice, it accepts,
         // because a refusal has a certain cost.
-        let unknown = if sure == Sure::Usually { Duration::ZERO } else { waits };
-        let expected = expected.unwrap_or(unknown) + self.stages_left(request, at, now);
-        let expected = expected.min(waits);
+        let unknown = if confidence == Sure::Usually { Duration::ZERO } else { time_left };
+        let expected = expected.unwrap_or(unknown) + self.stages_time_left(request, at, now);
+        let expected = expected.min(time_left);
         let taken = match at {
-            At::Door => stop.accepts(expected, now),
-            At::Stages | At::Dispatch => stop.is_before_end(now + expected),
+            Checkpoint::Arrival => stop.accepts(expected, now),
+            Checkpoint::Stages | Checkpoint::Dispatch => stop.is_before_end(now + expected),
         };
-        let is_told = at == At::Door || !taken;
-        let event =
-            is_told.then(|| self.decided(&request.incoming.id, at, taken, Some(expected), now));
+        let is_logged = at == Checkpoint::Arrival || !taken;
+        let event = is_logged
+            .then(|| self.stop_decision(&request.incoming.id, at, taken, Some(expected), now));
         (taken, event.flatten())
     }
 
     /// Typical remaining time of the stages of a request that waits for them.
-    fn stages_left(&self, request: &Request, at: At, now: Timestamp) -> Duration {
-        if at != At::Stages {
+    fn stages_time_left(&self, request: &Request, at: Checkpoint, now: Timestamp) -> Duration {
+        if at != Checkpoint::Stages {
             return Duration::ZERO;
         }
-        let usual = self.experience.expected(&request.route.name, Part::Stages, 1, Sure::Usually);
-        usual.unwrap_or_default().saturating_sub(now.saturating_sub(request.arrived))
+        let typical = self.durations.expected(&request.route.name, Part::Stages, 1, Sure::Usually);
+        typical.unwrap_or_default().saturating_sub(now.saturating_sub(request.arrived))
     }
 
-    fn decided(
+    fn stop_decision(
         &self,
         request: &Name,
-        at: At,
+        at: Checkpoint,
         taken: bool,
         expected: Option<Duration>,
         now: Timestamp,
@@ -140,8 +150,8 @@
     }
 
     /// Whether a new request can finish before the process ends.
-    pub(super) fn is_taken(&mut self, request: &Request, now: Timestamp) -> bool {
-        let (taken, event) = self.can_end(request, At::Door, now);
+    pub(super) fn can_accept(&mut self, request: &Request, now: Timestamp) -> bool {
+        let (taken, event) = self.can_finish(request, Checkpoint::Arrival, now);
         self.out.extend(event.map(Action::Log));
         taken
     }
@@ -155,17 +165,17 @@
         let Some(request) = self.requests.get(&caller) else {
             return false;
         };
-        let (taken, event) = self.can_end(request, At::Dispatch, now);
+        let (taken, event) = self.can_finish(request, Checkpoint::Dispatch, now);
         self.out.extend(event.map(Action::Log));
         if !taken {
-            self.refuse(caller, Refused::Draining, self.elsewhere(), now);
+            self.refuse(caller, Refused::Draining, self.retry_elsewhere_after(), now);
         }
         taken
     }
 
     /// Logs that a new request was refused without considering it.
-    pub(super) fn note_closed(&mut self, request: &Name, now: Timestamp) {
-        let event = self.decided(request, At::Door, false, None, now);
+    pub(super) fn log_closed(&mut self, request: &Name, now: Timestamp) {
+        let event = self.stop_decision(request, Checkpoint::Arrival, false, None, now);
         self.out.extend(event.map(Action::Log));
     }
 
@@ -173,25 +183,26 @@
     /// duration.
     pub fn stages_can_end(&self, route: &Name, longest: Duration, now: Timestamp) -> bool {
         self.stopping.is_none_or(|s| {
-            let expected = self.experience.expected(route, Part::Stages, 1, Sure::Surely);
+            let expected = self.durations.expected(route, Part::Stages, 1, Sure::Surely);
             s.stop.is_before_end(now + expected.map_or(longest, |e| e.min(longest)))
         })
     }
 
     /// Refuses requests that wait for their stages and can't finish their run any more. They have
     /// not run, and their callers have time to go to another gateway.
-    pub(super) fn give_up_in_stages(&mut self, now: Timestamp) {
-        if self.stopping.is_none() || now < self.stages_looked_at + LOOK {
+    pub(super) fn refuse_unfinishable_stages(&mut self, now: Timestamp) {
+        if self.stopping.is_none() || now < self.stages_checked_at + STAGES_CHECK_INTERVAL {
             return;
         }
-        self.stages_looked_at = now;
+        self.stages_checked_at = now;
         let waiting = self.callers_where(|r| matches!(r.phase, Phase::Stages { .. })).into_iter();
         let waiting = waiting.filter_map(|caller| Some((caller, self.requests.get(&caller)?)));
-        let decided = waiting.map(|(caller, r)| (caller, self.can_end(r, At::Stages, now)));
-        let too_late: Vec<_> = decided.filter(|(_, (can_end, _))| !can_end).collect();
+        let checked =
+            waiting.map(|(caller, r)| (caller, self.can_finish(r, Checkpoint::Stages, now)));
+        let too_late: Vec<_> = checked.filter(|(_, (can_finish, _))| !can_finish).collect();
         for (caller, (_, event)) in too_late {
             self.out.extend(event.map(Action::Log));
-            self.refuse(caller, Refused::Draining, self.elsewhere(), now);
+            self.refuse(caller, Refused::Draining, self.retry_elsewhere_after(), now);
         }
     }
 
@@ -202,28 +213,28 @@
         let callers = self.callers_where(|_| true);
         let unanswered = callers.len() - streams;
         for caller in callers {
-            self.refuse(caller, Refused::Draining, self.elsewhere(), now);
+            self.refuse(caller, Refused::Draining, self.retry_elsewhere_after(), now);
         }
         (unanswered, streams)
     }
 
     /// Records the duration of a request that is complete, or a lower bound of it if it is not.
-    pub(super) fn learn(&mut self, caller: u64, is_whole: bool, now: Timestamp) {
+    pub(super) fn record_durations(&mut self, caller: u64, is_complete: bool, now: Timestamp) {
         let Some(request) = self.requests.get(&caller) else {
             return;
         };
-        let Some(sent) = request.attempt.as_ref().map(|a| a.ordered) else {
+        let Some(ordered_at) = request.attempt.as_ref().map(|a| a.ordered_at) else {
             return;
         };
         let (route, size) = (&request.route.name, request.size());
-        for (part, since) in [(Part::Whole, request.arrived), (Part::Run, sent)] {
-            let Some(took) = self.took(since, now) else {
+        for (span, since) in [(Part::Whole, request.arrived), (Part::Run, ordered_at)] {
+            let Some(took) = self.elapsed_since(since, now) else {
                 continue;
             };
-            if is_whole {
-                self.experience.took(route, part, size, took);
+            if is_complete {
+                self.durations.took(route, span, size, took);
             } else {
-                self.experience.took_more(route, part, size, took);
+                self.durations.took_more(route, span, size, took);
             }
         }
     }
