--- a/src/actor.rs
+++ b/src/actor.rs
@@ -34,10 +34,10 @@
         false
     }
 
-    /// The event that is handled next has waited so long.
+    /// Called before each event with the time that the event waited in the queue.
     fn on_queue_delay(&mut self, _waited: Duration, _now: Timestamp) {}
 
-    /// The process stood still for so long, until now.
+    /// Called when the process resumes after a suspension of this duration.
     fn on_suspension(&mut self, _duration: Duration, _now: Timestamp) {}
 
     /// Takes in an event and returns what must be done, in order.
--- a/src/direct/core.rs
+++ b/src/direct/core.rs
@@ -79,19 +79,19 @@
     pub(super) documents: Documents,
     pub(super) evacuations: Evacuations,
     /// Orders from before an era that the store has not confirmed yet.
-    pub(super) unconfirmed: Unconfirmed,
+    pub(super) unconfirmed_orders: Unconfirmed,
     /// Data centres that get no new work because of an evacuation order.
     pub(super) evacuated: BTreeSet<Name>,
     /// Known eras of the store.
     pub(super) eras: Eras,
     /// Whether the configuration in the store is older than the one in force.
-    pub(super) published_older: bool,
+    pub(super) is_published_older: bool,
     pub(super) table: Table,
     pub(super) requests: Requests,
     pub(super) owners: Owners,
     pub(super) pulls: Pulls,
-    pub(super) early: Waiting,
-    pub(super) lateness: Lateness,
+    pub(super) deferred_requests: Waiting,
+    pub(super) event_lag: Lateness,
     /// Fingerprints of content under which endpoints crashed; shared with requests and owners.
     pub(super) suspects: Arc<Suspects>,
     pub(super) broken: Broken,
@@ -142,10 +142,10 @@
             builds: Builds::default(),
             documents: Documents::default(),
             evacuations: Evacuations::default(),
-            unconfirmed: Unconfirmed::default(),
+            unconfirmed_orders: Unconfirmed::default(),
             evacuated: BTreeSet::new(),
             eras: Eras::default(),
-            published_older: false,
+            is_published_older: false,
             table: Table::default(),
             requests: Requests::new(
                 setup.address,
@@ -155,8 +155,8 @@
             ),
             owners: Owners::new(setup.address, setup.repeats),
             pulls: Pulls::default(),
-            early: Waiting::default(),
-            lateness: Lateness::default(),
+            deferred_requests: Waiting::default(),
+            event_lag: Lateness::default(),
             suspects: Arc::default(),
             broken: Broken::default(),
             successes: Successes::default(),
@@ -202,7 +202,7 @@
         match event {
             Event::Submit { caller, incoming } => self.submit(caller, incoming, now),
             Event::CallerDisconnected { caller } => {
-                self.early.caller_gone(caller);
+                self.deferred_requests.caller_gone(caller);
                 self.requests.caller_gone(caller, now);
             }
             Event::Answered { caller, attempt, proof, is_open } => {
@@ -294,12 +294,12 @@
         self.out.push(Action::Log(event));
     }
 
-    /// Submits a request, or holds it back while the documents that its decision needs are about to
+    /// Submits a request, or defers it while the documents that its decision needs are about to
     /// arrive.
     fn submit(&mut self, caller: u64, incoming: IncomingRequest, now: Timestamp) {
         let arrived = now.saturating_sub(self.queue_delay);
-        if self.early.is_open() && !self.can_decide(&incoming, now) {
-            return self.early.add(caller, incoming, arrived);
+        if self.deferred_requests.is_open() && !self.can_decide(&incoming, now) {
+            return self.deferred_requests.add(caller, incoming, arrived);
         }
         let known = self.is_complete();
         self.requests.submit(caller, incoming, &self.table, known, arrived, now);
@@ -334,7 +334,7 @@
             stop.end_now(now);
         }
         self.update_stop(now);
-        self.submit_early_requests(now);
+        self.submit_deferred_requests(now);
         let (unanswered, streams) = self.requests.end_all(now);
         let own = self.members.own().address;
         self.owners.hand_back_jobs(own);
@@ -362,7 +362,7 @@
         self.merged(&expired, "not back", false, now);
         self.confirm_orders(now);
         self.update_state(now);
-        self.submit_early_requests(now);
+        self.submit_deferred_requests(now);
         self.send_deferred_probes(now);
         self.process_permits(now);
         if now >= self.next_heartbeat {
@@ -438,12 +438,12 @@
     fn on_queue_delay(&mut self, queue_delay: Duration, now: Timestamp) {
         self.queue_delay = queue_delay;
         // The time of a suspension does not count as event lag.
-        self.lateness.waited(queue_delay.min(now.saturating_sub(self.resumed_at)), now);
-        let lateness = self.lateness.now(now);
-        self.requests.set_lateness(lateness);
-        self.owners.set_event_lag(lateness);
-        if let Some(is_overloaded) = self.lateness.changed(now) {
-            self.log(LogEvent::Overloaded { is_overloaded, late_ms: ms(lateness) });
+        self.event_lag.waited(queue_delay.min(now.saturating_sub(self.resumed_at)), now);
+        let event_lag = self.event_lag.now(now);
+        self.requests.set_lateness(event_lag);
+        self.owners.set_event_lag(event_lag);
+        if let Some(is_overloaded) = self.event_lag.changed(now) {
+            self.log(LogEvent::Overloaded { is_overloaded, late_ms: ms(event_lag) });
         }
     }
 
@@ -460,16 +460,18 @@
         let documents =
             pulls.chain(self.documents.next_expiry()).chain(self.members.next_suspicion());
         let documents =
-            documents.chain(self.unconfirmed.next_expiry()).chain(self.next_completion());
-        let settled =
-            self.complete_since.filter(|_| !self.early.is_empty()).map(|s| s + self.settling);
-        let early = self.early.next_wakeup().into_iter().chain(settled);
-        let early = early.chain(self.next_permit());
+            documents.chain(self.unconfirmed_orders.next_expiry()).chain(self.next_completion());
+        let settled = self
+            .complete_since
+            .filter(|_| !self.deferred_requests.is_empty())
+            .map(|s| s + self.settling);
+        let deferred = self.deferred_requests.next_wakeup().into_iter().chain(settled);
+        let deferred = deferred.chain(self.next_permit());
         wakeups
             .into_iter()
             .flatten()
             .chain(documents)
-            .chain(early)
+            .chain(deferred)
             .chain([self.next_heartbeat])
             .min()
     }
--- a/src/direct/peer_messages.rs
+++ b/src/direct/peer_messages.rs
@@ -56,13 +56,13 @@
                 self.limits_received(from, &limits, now);
                 self.owners.usage_announced(from, usage, &self.table);
                 self.requests.told_lateness(from, late, now);
-                let heard = self.members.hear(&members, now);
-                for member in heard.ended {
+                let changes = self.members.hear(&members, now);
+                for member in changes.ended {
                     self.peer_down(member.address, member.incarnation, "restarted", now);
                 }
                 // A gateway that starts receives the members at once, not with the next heartbeat.
-                let newly_heard = heard.alive.iter().any(|m| m.address == from);
-                for member in heard.alive {
+                let is_new_peer = changes.alive.iter().any(|m| m.address == from);
+                for member in changes.alive {
                     self.log(LogEvent::Peer {
                         address: member.address,
                         incarnation: member.incarnation,
@@ -70,7 +70,7 @@
                         cause: "heard",
                     });
                 }
-                if newly_heard {
+                if is_new_peer {
                     self.request_suspects_soon(now);
                     let message = self.gossip(self.all_departures(), self.limits.all(now), now);
                     self.send(from, message);
@@ -210,7 +210,7 @@
             seen: self.documents.seen(),
             complete: self.documents.is_complete(),
             usage: self.owners.usage(),
-            late: self.lateness.now(now),
+            late: self.event_lag.now(now),
             evacuations: self.evacuations.clone(),
             departures,
             limits,
--- a/src/direct/publication.rs
+++ b/src/direct/publication.rs
@@ -21,32 +21,32 @@
 
 /// Minimum wait of a watch of the publisher's store. A change that a silent connection does not
 /// deliver is read by the next watch, soon enough even if all connections fall silent at once.
-const MIN_WATCH: Duration = Duration::from_secs(2);
+const MIN_WATCH_TIMEOUT: Duration = Duration::from_secs(2);
 /// Average interval between the ends of two watches of a large group of gateways. The first gateway
 /// whose new watch returns a change sends it to all others.
-const WATCH_INTERVAL: Duration = Duration::from_millis(250);
+const WATCH_END_INTERVAL: Duration = Duration::from_millis(250);
 /// Minimum delay between a watch that returned changes and the next one. Endpoints write their
 /// entries one after the other, and each watch is a call with a cost, so changes accumulate for
 /// this long.
 pub const MIN_GATHER: Duration = Duration::from_millis(250);
 /// Average interval at which the gateways of a large group resume watching after a change; the
-/// first one sends the changes since to the others. Beyond 133 gateways, where [`MAX_WATCH`]
-/// caps the delay, the number of calls grows with the number of gateways.
-const GATHER_INTERVAL: Duration = Duration::from_millis(60);
+/// first one sends the changes since to the others. Beyond 133 gateways, where
+/// [`MAX_WATCH_TIMEOUT`] caps the delay, the number of calls grows with the number of gateways.
+const WATCH_RESUME_INTERVAL: Duration = Duration::from_millis(60);
 /// Random delay before a reread of the store in a new era, per gateway, since all gateways reread
 /// everything.
 const REREAD_DELAY_PER_GATEWAY: Duration = Duration::from_millis(4);
 /// Maximum random delay before a reread of the store in a new era.
 const MAX_REREAD_DELAY: Duration = Duration::from_secs(1);
 /// Maximum wait of a watch; long, since each watch is a call with a cost.
-const MAX_WATCH: Duration = Duration::from_secs(8);
+const MAX_WATCH_TIMEOUT: Duration = Duration::from_secs(8);
 
 impl GatewayCore {
     /// How long a watch of the publisher's store waits. With 28 gateways, whose watches end at
     /// random times every 7 s, no gateway starts a new watch within 2.3 s in one of 70,000 cases.
     pub fn watch_wait(&self) -> Duration {
         let watching = self.members.alive().count() as u32 + 1;
-        (WATCH_INTERVAL * watching).clamp(MIN_WATCH, MAX_WATCH)
+        (WATCH_END_INTERVAL * watching).clamp(MIN_WATCH_TIMEOUT, MAX_WATCH_TIMEOUT)
     }
 
     /// Range of the random delay between a watch that returned a change of the endpoint list and
@@ -55,7 +55,7 @@
     /// on a quiet day, and 4,051 when all of them resumed after 250 ms.
     pub fn gather_within(&self) -> RangeInclusive<Duration> {
         let watching = self.members.alive().count() as u32 + 1;
-        MIN_GATHER..=(GATHER_INTERVAL * watching).clamp(MIN_GATHER, MAX_WATCH)
+        MIN_GATHER..=(WATCH_RESUME_INTERVAL * watching).clamp(MIN_GATHER, MAX_WATCH_TIMEOUT)
     }
 
     /// Maximum of the random delay before this gateway rereads the store for an era that a peer
@@ -295,7 +295,7 @@
 
     /// Applies evacuation orders to everything that is not sent yet; returns whether any changed.
     fn evacuations_merged(&mut self, known: Evacuations, source: &str, now: Timestamp) -> bool {
-        self.unconfirmed.changed(&self.evacuated, &self.evacuations, &known, now);
+        self.unconfirmed_orders.changed(&self.evacuated, &self.evacuations, &known, now);
         self.evacuations = known;
         self.apply_orders(source, now)
     }
@@ -303,14 +303,14 @@
     /// Lifts orders from before an era that were not written again in time: they count as
     /// withdrawn.
     pub(super) fn confirm_orders(&mut self, now: Timestamp) {
-        if self.unconfirmed.expire(now) {
+        if self.unconfirmed_orders.expire(now) {
             self.apply_orders("not confirmed", now);
         }
     }
 
     /// Applies the orders that are in force and confirmed; returns whether that changed anything.
     fn apply_orders(&mut self, source: &str, now: Timestamp) -> bool {
-        let standing = self.unconfirmed.in_force(self.evacuations.standing());
+        let standing = self.unconfirmed_orders.in_force(self.evacuations.standing());
         let before = std::mem::replace(&mut self.evacuated, standing.clone());
         if before == standing {
             return false;
--- a/src/direct/readiness.rs
+++ b/src/direct/readiness.rs
@@ -37,22 +37,21 @@
         self.stop.is_some() || self.complete_since.is_some_and(is_settled)
     }
 
-    /// Submits the requests that were held back, once they can be decided or their wait has timed
-    /// out.
-    pub(super) fn submit_early_requests(&mut self, now: Timestamp) {
-        if self.early.is_empty() {
+    /// Submits the deferred requests that can be decided now or have waited long enough.
+    pub(super) fn submit_deferred_requests(&mut self, now: Timestamp) {
+        if self.deferred_requests.is_empty() {
             return;
         }
-        let mut early = std::mem::take(&mut self.early);
-        let due = early.take_due(|incoming| self.can_decide(incoming, now), now);
-        self.early = early;
+        let mut deferred = std::mem::take(&mut self.deferred_requests);
+        let due = deferred.take_due(|incoming| self.can_decide(incoming, now), now);
+        self.deferred_requests = deferred;
         let known = self.is_complete();
-        for early in due {
-            let (caller, incoming) = (early.caller, early.incoming);
+        for waiting in due {
+            let (caller, incoming) = (waiting.caller, waiting.incoming);
             let request = incoming.id.clone();
-            let waited_ms = ms(now.saturating_sub(early.arrived));
+            let waited_ms = ms(now.saturating_sub(waiting.arrived));
             self.log(LogEvent::Waited { request, waited_ms, known });
-            self.requests.submit(caller, incoming, &self.table, known, early.arrived, now);
+            self.requests.submit(caller, incoming, &self.table, known, waiting.arrived, now);
         }
     }
 
--- a/src/direct/shell.rs
+++ b/src/direct/shell.rs
@@ -61,7 +61,7 @@
     request: Arc<ForwardedRequest>,
     reply: Option<oneshot::Sender<Reply>>,
     events: Option<mpsc::Sender<Bytes>>,
-    is_whole: Arc<AtomicBool>,
+    is_complete: Arc<AtomicBool>,
     task: Option<(u64, AbortHandle)>,
     response: Option<(u64, Answer)>,
 }
@@ -138,7 +138,7 @@
             request: Arc::new(request),
             reply: Some(sender),
             events: None,
-            is_whole: Arc::default(),
+            is_complete: Arc::default(),
             task: None,
             response: None,
         };
@@ -159,7 +159,7 @@
 /// Body with the events of a stream.
 pub struct StreamBody {
     events: mpsc::Receiver<Bytes>,
-    is_whole: Arc<AtomicBool>,
+    is_complete: Arc<AtomicBool>,
     guard: Option<DisconnectGuard>,
 }
 
@@ -178,8 +178,8 @@
                 if let Some(mut guard) = self.guard.take() {
                     guard.core = None;
                 }
-                let is_whole = self.is_whole.load(Ordering::Acquire);
-                Poll::Ready(if is_whole { None } else { Some(Err(StreamAborted)) })
+                let is_complete = self.is_complete.load(Ordering::Acquire);
+                Poll::Ready(if is_complete { None } else { Some(Err(StreamAborted)) })
             }
         }
     }
@@ -195,8 +195,8 @@
     permit: Option<Timestamp>,
     /// When the message was sent.
     sent: Option<Timestamp>,
-    /// Caller and attempt of a call whose sending the core waits for.
-    reported_send: Option<(u64, u64)>,
+    /// Caller and attempt to report with [`Event::CallSent`] when the message is sent.
+    report_as_sent: Option<(u64, u64)>,
 }
 
 impl Exchange for EndpointExchange {
@@ -207,7 +207,7 @@
             return false;
         }
         self.sent = Some(now);
-        if let Some((caller, attempt)) = self.reported_send.take() {
+        if let Some((caller, attempt)) = self.report_as_sent.take() {
             self.core.post(Event::CallSent { caller, attempt }, &Runtime::current());
         }
         true
@@ -269,7 +269,7 @@
         permit: Option<Timestamp>,
     ) -> EndpointExchange {
         let (core, endpoint, gates) = (self.core.clone(), endpoint.clone(), self.gates.clone());
-        EndpointExchange { core, endpoint, asked, gates, permit, sent: None, reported_send: None }
+        EndpointExchange { core, endpoint, asked, gates, permit, sent: None, report_as_sent: None }
     }
 
     fn call(&self, caller: u64, attempt: u64, params: CallParams) {
@@ -282,7 +282,7 @@
             (self.core.clone(), self.client.clone(), self.callers.clone());
         let timeout = params.timeout;
         let mut exchange = self.exchange(&params.endpoint, Asked::Request, params.permit);
-        exchange.reported_send = (!params.inputs.is_empty()).then_some((caller, attempt));
+        exchange.report_as_sent = (!params.inputs.is_empty()).then_some((caller, attempt));
         let task = tokio::spawn(async move {
             let called =
                 tokio::time::timeout(timeout, client.call(params, request, exchange)).await;
@@ -330,8 +330,8 @@
                 if let Some(reply) = entry.reply.take() {
                     let (events, receiver) = mpsc::channel(EVENT_BUFFER);
                     entry.events = Some(events);
-                    let is_whole = entry.is_whole.clone();
-                    let stream = StreamBody { events: receiver, is_whole, guard: None };
+                    let is_complete = entry.is_complete.clone();
+                    let stream = StreamBody { events: receiver, is_complete, guard: None };
                     reply.send(Reply::Stream(answer.head, stream)).ok();
                 }
                 let Some(events) = entry.events.clone() else {
@@ -343,15 +343,15 @@
         }
     }
 
-    fn end(&self, caller: u64, reply: Option<Refusal>, is_whole: bool) {
+    fn end(&self, caller: u64, reply: Option<Refusal>, is_complete: bool) {
         let Some(entry) = lock(&self.callers).remove(&caller) else {
             return;
         };
-        entry.is_whole.store(is_whole, Ordering::Release);
+        entry.is_complete.store(is_complete, Ordering::Release);
         if let (Some(sender), Some(refusal)) = (entry.reply, reply) {
             sender.send(Reply::Refused(refusal)).ok();
         }
-        if let Some((_, task)) = entry.task.filter(|_| !is_whole) {
+        if let Some((_, task)) = entry.task.filter(|_| !is_complete) {
             task.abort();
         }
     }
--- a/src/direct/stop.rs
+++ b/src/direct/stop.rs
@@ -18,7 +18,7 @@
 /// Maximum expected duration of requests that are accepted after [`MIN_DURATION`], while earlier
 /// requests keep the process running: its restart, which serves all callers, must not wait for
 /// them.
-const MAX_WHEN_HELD_UP: Duration = Duration::from_millis(500);
+const MAX_LATE_EXPECTED: Duration = Duration::from_millis(500);
 /// Time from the end of a process until it serves again.
 const RESTART: Duration = Duration::from_millis(1_200);
 /// Interval of the load balancer's checks: it sends no callers to a gateway that has served for
@@ -63,7 +63,7 @@
     /// Whether the schedule allows a new request whose response takes `expected`.
     pub fn accepts(&self, expected: Duration, now: Timestamp) -> bool {
         self.is_before_end(now + expected)
-            && (now < self.earliest_end() || expected <= MAX_WHEN_HELD_UP)
+            && (now < self.earliest_end() || expected <= MAX_LATE_EXPECTED)
     }
 
     /// Until when callers may arrive that do not know of the stop.
@@ -74,11 +74,11 @@
     /// Whether new requests are considered. If other gateways serve, for a while after the signal.
     /// If none does, until the earliest end of the process, and after that while earlier requests
     /// keep it running.
-    pub fn is_open(&self, others_serve: bool, is_held_up: bool, now: Timestamp) -> bool {
+    pub fn is_open(&self, others_serve: bool, has_earlier_requests: bool, now: Timestamp) -> bool {
         if others_serve {
             return now < self.since + ACCEPT_WITH_OTHERS;
         }
-        now < self.earliest_end() || is_held_up && now < self.ends
+        now < self.earliest_end() || has_earlier_requests && now < self.ends
     }
 }
 
--- a/src/direct/store_restore.rs
+++ b/src/direct/store_restore.rs
@@ -87,10 +87,10 @@
         crate::metrics::published_version(published);
         let in_force = self.documents.seen().version;
         let is_older = published < in_force;
-        if is_older || self.published_older {
+        if is_older || self.is_published_older {
             let line = PublishedVersion { published, in_force, is_older };
             self.log(LogEvent::PublishedVersion(line));
         }
-        self.published_older = is_older;
+        self.is_published_older = is_older;
     }
 }
