--- a/src/direct/owner/batching.rs
+++ b/src/direct/owner/batching.rs
@@ -90,7 +90,7 @@
         self.next_call += 1;
         let call = self.next_call;
         let mut pieces = Vec::with_capacity(batch.len());
-        let mut orders = Vec::with_capacity(batch.len());
+        let mut call_params = Vec::with_capacity(batch.len());
         let mut waited = Vec::new();
         let mut first_attempts = 0;
         let mut total = 0;
@@ -99,13 +99,13 @@
                 continue;
             };
             let bytes = run.job.stages[stage].result_bytes;
-            let order = piece_order(run, stage, piece, now);
+            let params = piece_params(run, stage, piece, now);
             let violation =
                 Violation::MissingInputs { request: run.job.request.to_string(), stage };
-            if !invariant!(order.inputs.len() == run.inputs_of(stage), violation) {
+            if !invariant!(params.inputs.len() == run.inputs_of(stage), violation) {
                 continue;
             }
-            orders.push(order);
+            call_params.push(params);
             let slot = &mut run.stages[stage].pieces[piece];
             let attempts = if let Piece::Waiting { attempts } = *slot { attempts } else { 0 };
             first_attempts += u32::from(attempts == 0);
@@ -123,13 +123,13 @@
         self.repeats.first(pool, first_attempts, now);
         self.producers.sent(&endpoint.id, total);
         self.cold.sent(&endpoint, pieces.len(), now);
-        let expected = spec.call + spec.piece * orders.len() as u32;
+        let expected = spec.call + spec.piece * call_params.len() as u32;
         let wait_limit = expected.mul_f64(OVERDUE_FACTOR) + OVERDUE_MARGIN;
         let queued = self.ledger.get(pool).map_or(0, |ledger| ledger.queue.pieces());
         self.out.push(Action::Log(LogEvent::BatchSent {
             call,
             endpoint: endpoint.id.clone(),
-            pieces: orders.iter().map(|o| (o.request.clone(), o.stage, o.piece)).collect(),
+            pieces: call_params.iter().map(|o| (o.request.clone(), o.stage, o.piece)).collect(),
             waiting: queued.saturating_sub(pieces.len()),
         }));
         self.timers.add(now + FETCHING, Timer::InputsFetched(call));
@@ -150,7 +150,7 @@
         self.calls.insert(call, sent);
         let timeout = wait_limit * 4;
         let permit = self.take_permit(&endpoint);
-        self.out.push(Action::CallBatch { call, endpoint, pieces: orders, timeout, permit });
+        self.out.push(Action::CallBatch { call, endpoint, pieces: call_params, timeout, permit });
     }
 }
 
@@ -216,7 +216,7 @@
     mut free_bytes: u64,
     is_isolated: impl Fn(Rank) -> bool,
 ) -> Vec<Selected> {
-    let mut left = max_pieces;
+    let mut pieces_left = max_pieces;
     let mut taken: Vec<Selected> = Vec::new();
     let mut isolated = None;
     for candidate in candidates {
@@ -235,17 +235,17 @@
             continue;
         }
         let fit = free_bytes.checked_div(candidate.bytes).map_or(usize::MAX, |fit| fit as usize);
-        let pieces = candidate.pieces.min(left).min(fit);
-        let is_whole = pieces == candidate.pieces || taken.is_empty();
-        if pieces > 0 && is_whole {
-            left -= pieces;
+        let pieces = candidate.pieces.min(pieces_left).min(fit);
+        let fits_entirely = pieces == candidate.pieces || taken.is_empty();
+        if pieces > 0 && fits_entirely {
+            pieces_left -= pieces;
             free_bytes -= pieces as u64 * candidate.bytes;
             taken.push(Selected { rank, skip: candidate.skip, pieces });
             if isolated.is_none() && taken.len() == 1 && is_isolated(rank) {
                 isolated = Some(rank);
             }
         }
-        if left == 0 {
+        if pieces_left == 0 {
             break;
         }
     }
@@ -253,7 +253,7 @@
 }
 
 /// What an endpoint needs to run a piece.
-fn piece_order(run: &JobRun, stage: usize, piece: usize, now: Timestamp) -> PieceParams {
+fn piece_params(run: &JobRun, stage: usize, piece: usize, now: Timestamp) -> PieceParams {
     let spec = &run.job.stages[stage];
     let inputs = spec.after.iter().flat_map(|&a| run.stages[a].results());
     PieceParams {
--- a/src/direct/owner/entry.rs
+++ b/src/direct/owner/entry.rs
@@ -24,7 +24,7 @@
 pub(super) fn entry(run: &mut JobRun, context: PlanContext<'_>) -> Entry {
     let occupancies = occupancies(run, &expected_runs(run, context));
     let moves_with_time = moves_with_time(run);
-    let mut refresh_at: Option<Duration> = None;
+    let mut refresh_in: Option<Duration> = None;
     let mut stages = Vec::with_capacity(occupancies.len());
     for (stage, occupancy) in occupancies.into_iter().enumerate() {
         let deferral = remaining_deferral(run, stage, context.now);
@@ -32,14 +32,14 @@
             occupancy.map(|f| next_plan_step(run, stage, f)).filter(|_| !moves_with_time);
         let moves_with_time = moves_with_time.then_some(STEP);
         let recheck = deferral.filter(|wait| !wait.is_zero()).map(|w| w.max(MIN_DEFERRAL));
-        refresh_at =
-            [refresh_at, next_plan_step, moves_with_time, recheck].into_iter().flatten().min();
+        refresh_in =
+            [refresh_in, next_plan_step, moves_with_time, recheck].into_iter().flatten().min();
         if deferral == Some(Duration::ZERO) {
             run.stages[stage].runnable_since.get_or_insert(context.now);
         }
         stages.push(stage_entry(run, stage, deferral, occupancy, context.now));
     }
-    Entry { stages, refresh_at: refresh_at.map(|time| context.now + time) }
+    Entry { stages, refresh_at: refresh_in.map(|time| context.now + time) }
 }
 
 /// Time until a stage should have started, or until its results should have been fetched.
--- a/src/direct/owner/pauses.rs
+++ b/src/direct/owner/pauses.rs
@@ -73,10 +73,10 @@
         }
         self.free_with_permits(now);
         let (backoffs, limits) = (&self.backoffs, &self.limits);
-        let may_be = |endpoint: &Endpoint| {
+        let may_free = |endpoint: &Endpoint| {
             backoffs.until(endpoint, now).is_none() && limits.rate(endpoint, now).is_none()
         };
-        let freed = self.to_free.extract_if(.., |_, (endpoint, _)| may_be(endpoint));
+        let freed = self.to_free.extract_if(.., |_, (endpoint, _)| may_free(endpoint));
         let freed = freed.map(|(_, (endpoint, handles))| {
             let permit = None;
             Action::FreeResults { endpoint, handles, permit }
--- a/src/direct/owner/queue.rs
+++ b/src/direct/owner/queue.rs
@@ -215,8 +215,8 @@
         if pieces > stays {
             found += add(rank, queued, stays, pieces - stays, false);
         }
-        let nothing_leaves = may_wait && !preferred_is_free && group.pieces <= next_calls;
-        if found >= search.max_pieces || nothing_leaves {
+        let all_wait = may_wait && !preferred_is_free && group.pieces <= next_calls;
+        if found >= search.max_pieces || all_wait {
             break;
         }
     }
--- a/src/direct/owner/scheduler.rs
+++ b/src/direct/owner/scheduler.rs
@@ -271,10 +271,10 @@
     /// Releases all jobs of a gateway that was removed.
     pub fn release_jobs_of(&mut self, gateway: SocketAddr, incarnation: u64, table: &Table) {
         let first = JobId { gateway, incarnation, number: 0 };
-        let of_gateway = self.jobs.range(first..).map(|(id, _)| *id);
-        let gone =
-            of_gateway.take_while(|id| (id.gateway, id.incarnation) == (gateway, incarnation));
-        for id in gone.collect::<Vec<_>>() {
+        let from_first = self.jobs.range(first..).map(|(id, _)| *id);
+        let of_removed =
+            from_first.take_while(|id| (id.gateway, id.incarnation) == (gateway, incarnation));
+        for id in of_removed.collect::<Vec<_>>() {
             self.release(id, table);
         }
     }
@@ -390,9 +390,9 @@
             self.time_dependent.insert(id.clone());
         }
         let cold_start = table.pool(pool).and_then(|pool| pool.cold);
-        let is_open = self.cold.opens(endpoint, cold_start, OWNERS_PER_CELL, now).is_none();
+        let accepts_calls = self.cold.opens(endpoint, cold_start, OWNERS_PER_CELL, now).is_none();
         let mut state = self.state_of(id, spec, now);
-        state.is_free &= is_open && self.is_permitted(endpoint, now);
+        state.is_free &= accepts_calls && self.is_permitted(endpoint, now);
         self.ledger.pool(pool).endpoints.set(endpoint.clone(), state);
     }
 
