--- a/src/direct/backoff.rs
+++ b/src/direct/backoff.rs
@@ -20,20 +20,20 @@
 use crate::message::Timestamp;
 
 /// Pause for an endpoint whose backoff time can't be parsed: the shortest in whole seconds.
-const UNCLEAR: Duration = Duration::from_secs(1);
+const UNPARSABLE_BACKOFF: Duration = Duration::from_secs(1);
 /// Longest pause that one response can cause. No endpoint sheds load for an hour, and one that
 /// sends a date as a number of seconds would otherwise be unusable by this gateway until either
 /// process restarts.
-const LONGEST: Duration = Duration::from_secs(3_600);
+const MAX_PAUSE: Duration = Duration::from_secs(3_600);
 /// Maximum share of the backoff time that is added as a delay, different for each gateway and
 /// endpoint. An endpoint that refused 100 gateways within one second is called again over that
 /// second plus a quarter of the pause.
-const SPREAD: f64 = 0.25;
+const MAX_DELAY_SHARE: f64 = 0.25;
 /// Maximum delay that is added to a pause.
-const LONGEST_SPREAD: Duration = Duration::from_secs(1);
+const MAX_DELAY: Duration = Duration::from_secs(1);
 /// Maximum number of pauses that are kept; bounds memory. 3,000 endpoints are expected in two
 /// years.
-const MOST: usize = 4_096;
+const MAX_PAUSES: usize = 4_096;
 
 #[derive(Debug, Clone, Copy)]
 struct Pause {
@@ -64,39 +64,39 @@
         at: Timestamp,
     ) -> Option<Timestamp> {
         let asked = match backoff {
-            Backoff::For(time) => time.min(LONGEST),
-            Backoff::Unclear => UNCLEAR,
+            Backoff::For(time) => time.min(MAX_PAUSE),
+            Backoff::Unclear => UNPARSABLE_BACKOFF,
         };
         if asked.is_zero() {
             return None;
         }
-        let until = at + asked + self.spread(endpoint, asked);
+        let until = at + asked + self.delay(endpoint, asked);
         let known = self.endpoints.get(&endpoint.id);
         if known.is_some_and(|k| k.incarnation == endpoint.incarnation && k.until >= until) {
             return None;
         }
-        self.make_room(at);
+        self.evict(at);
         let pause = Pause { incarnation: endpoint.incarnation, until };
         self.endpoints.insert(endpoint.id.clone(), pause);
         Some(until)
     }
 
     /// Delay that this gateway adds to a pause.
-    fn spread(&self, endpoint: &Endpoint, asked: Duration) -> Duration {
-        let drawn = xxh3_64_with_seed(endpoint.id.as_bytes(), self.seed) as f64 / u64::MAX as f64;
-        asked.mul_f64(SPREAD).min(LONGEST_SPREAD).mul_f64(drawn)
+    fn delay(&self, endpoint: &Endpoint, asked: Duration) -> Duration {
+        let random = xxh3_64_with_seed(endpoint.id.as_bytes(), self.seed) as f64 / u64::MAX as f64;
+        asked.mul_f64(MAX_DELAY_SHARE).min(MAX_DELAY).mul_f64(random)
     }
 
     /// If the maximum is reached, removes expired pauses, and then, if needed, the one that ends
     /// first.
-    fn make_room(&mut self, now: Timestamp) {
-        if self.endpoints.len() < MOST {
+    fn evict(&mut self, now: Timestamp) {
+        if self.endpoints.len() < MAX_PAUSES {
             return;
         }
         self.endpoints.retain(|_, pause| now < pause.until);
         let first = self.endpoints.iter().min_by_key(|(id, pause)| (pause.until, (*id).clone()));
         if let Some(first) =
-            first.map(|(id, _)| id.clone()).filter(|_| self.endpoints.len() >= MOST)
+            first.map(|(id, _)| id.clone()).filter(|_| self.endpoints.len() >= MAX_PAUSES)
         {
             self.endpoints.remove(&first);
         }
--- a/src/direct/cold.rs
+++ b/src/direct/cold.rs
@@ -27,31 +27,31 @@
 /// Share of a cold endpoint's capacity that is used. Gateways with random slots send at random
 /// moments: with a capacity of 10 per second, 6 are sent on average, and by calculation more than
 /// 15 within one second once in 2,000 seconds.
-const USED: f64 = 0.6;
+const USED_SHARE: f64 = 0.6;
 /// How long a process sends to no cold endpoint after its start, since it knows too few other
 /// gateways to calculate its share. A heartbeat reaches all of 100 gateways in four rounds of 200
 /// ms.
-const GATHERING: Duration = Duration::from_millis(1_500);
+const STARTUP_DELAY: Duration = Duration::from_millis(1_500);
 /// How long a slot stays open; afterwards it is lost. Slots that were not used, while an endpoint
 /// was evacuated or no requests arrived, must not be used all at once: in a simulated schedule of
 /// 97 gateways, 23 requests were sent that way in the following second.
-const OPEN: Duration = Duration::from_millis(500);
+const SLOT_OPEN: Duration = Duration::from_millis(500);
 /// An unreachable endpoint is retried within this time, and may have started in between.
-const TRIED_AGAIN: Duration = Duration::from_secs(4);
+const RETRY_INTERVAL: Duration = Duration::from_secs(4);
 
 /// Longest time for which an endpoint counts as cold after it reported so; bounds memory.
-const LONGEST: Duration = Duration::from_secs(60);
+const MAX_COLD: Duration = Duration::from_secs(60);
 
 /// State of one cold endpoint.
 #[derive(Debug, Clone)]
-struct Cold {
+struct ColdState {
     incarnation: u64,
     /// Whether the endpoint is only assumed to be cold, after a failed connection or an evacuation.
     /// An entry that says otherwise is then ignored, since it may have been written before.
-    is_suspected: bool,
+    is_assumed: bool,
     until: Timestamp,
     /// Number of periods between `since` and the next slot.
-    turns: f64,
+    periods_to_slot: f64,
     /// When the last request was sent, or when the endpoint became cold.
     since: Timestamp,
 }
@@ -63,25 +63,26 @@
     seed: u64,
     /// When this gateway received its first configuration.
     started: Option<Timestamp>,
-    endpoints: HashMap<Name, Cold>,
+    endpoints: HashMap<Name, ColdState>,
 }
 
 /// Length of the period in which `gateways` send one request each.
-fn turn(bears: ColdStart, gateways: usize) -> Duration {
-    let seconds = gateways.max(1) as f64 / (bears.per_second * USED).max(f64::MIN_POSITIVE);
+fn period(cold_start: ColdStart, gateways: usize) -> Duration {
+    let seconds =
+        gateways.max(1) as f64 / (cold_start.per_second * USED_SHARE).max(f64::MIN_POSITIVE);
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
 }
 
 /// Start of the slot that is open at `now`, or else of the next one; the first slot starts at
 /// `first`.
-fn next_turn(first: Timestamp, turn: Duration, now: Timestamp) -> Timestamp {
+fn next_slot(first: Timestamp, period: Duration, now: Timestamp) -> Timestamp {
     let since_first = now.saturating_sub(first);
-    if since_first.is_zero() || turn <= OPEN {
+    if since_first.is_zero() || period <= SLOT_OPEN {
         return first;
     }
-    let into_turn = Duration::from_nanos((since_first.as_nanos() % turn.as_nanos()) as u64);
-    let begun = now.saturating_sub(into_turn);
-    if into_turn <= OPEN { begun } else { begun.saturating_add(turn) }
+    let into_period = Duration::from_nanos((since_first.as_nanos() % period.as_nanos()) as u64);
+    let period_start = now.saturating_sub(into_period);
+    if into_period <= SLOT_OPEN { period_start } else { period_start.saturating_add(period) }
 }
 
 impl ColdEndpoints {
@@ -105,47 +106,47 @@
     /// Records how much longer an endpoint reports to be cold.
     pub fn told(&mut self, endpoint: &Endpoint, left: Duration, now: Timestamp) {
         if !left.is_zero() {
-            return self.until(endpoint, false, now + left.min(LONGEST), now);
+            return self.until(endpoint, false, now + left.min(MAX_COLD), now);
         }
         let known = self.endpoints.get(&endpoint.id);
-        if known.is_some_and(|c| !c.is_suspected || c.incarnation != endpoint.incarnation) {
+        if known.is_some_and(|c| !c.is_assumed || c.incarnation != endpoint.incarnation) {
             self.endpoints.remove(&endpoint.id);
         }
     }
 
     /// Assumes an unreachable endpoint to be cold: once it is reachable again, it has probably
     /// restarted.
-    pub fn unreachable(&mut self, endpoint: &Endpoint, bears: ColdStart, now: Timestamp) {
-        self.until(endpoint, true, now + TRIED_AGAIN + bears.lasts, now);
+    pub fn unreachable(&mut self, endpoint: &Endpoint, cold_start: ColdStart, now: Timestamp) {
+        self.until(endpoint, true, now + RETRY_INTERVAL + cold_start.lasts, now);
     }
 
     /// Assumes the endpoints of data centres whose evacuation ended to be cold: they may have
     /// restarted in the meantime without receiving any calls.
     pub fn return_of(&mut self, data_centres: &BTreeSet<Name>, table: &Table, now: Timestamp) {
         for pool in &table.deployment.pools {
-            let Some(bears) = pool.cold else {
+            let Some(cold_start) = pool.cold else {
                 continue;
             };
             let returned = table.members(&pool.name).iter();
             for endpoint in returned.filter(|e| data_centres.contains(&e.data_centre)) {
-                self.until(endpoint, true, now + bears.lasts, now);
+                self.until(endpoint, true, now + cold_start.lasts, now);
             }
         }
     }
 
-    fn until(&mut self, endpoint: &Endpoint, is_suspected: bool, until: Timestamp, now: Timestamp) {
+    fn until(&mut self, endpoint: &Endpoint, is_assumed: bool, until: Timestamp, now: Timestamp) {
         let incarnation = endpoint.incarnation;
         if let Some(cold) = self.endpoints.get_mut(&endpoint.id)
             && cold.incarnation == incarnation
             && cold.until > now
         {
             cold.until = until;
-            cold.is_suspected = is_suspected;
+            cold.is_assumed = is_assumed;
             return;
         }
-        let drawn = xxh3_64_with_seed(endpoint.id.as_bytes(), self.seed ^ incarnation);
-        let turns = drawn as f64 / u64::MAX as f64;
-        let cold = Cold { incarnation, is_suspected, until, turns, since: now };
+        let random = xxh3_64_with_seed(endpoint.id.as_bytes(), self.seed ^ incarnation);
+        let periods_to_slot = random as f64 / u64::MAX as f64;
+        let cold = ColdState { incarnation, is_assumed, until, periods_to_slot, since: now };
         self.endpoints.insert(endpoint.id.clone(), cold);
     }
 
@@ -154,27 +155,27 @@
     pub fn opens(
         &self,
         endpoint: &Endpoint,
-        bears: Option<ColdStart>,
+        cold_start: Option<ColdStart>,
         gateways: usize,
         now: Timestamp,
     ) -> Option<Timestamp> {
-        let bears = bears?;
+        let cold_start = cold_start?;
         let cold = self.endpoints.get(&endpoint.id)?;
         if cold.incarnation != endpoint.incarnation || now >= cold.until {
             return None;
         }
-        let gathered = self.started.map_or(Timestamp::MAX, |started| started + GATHERING);
-        let turn = turn(bears, gateways);
-        let wait = Duration::try_from_secs_f64(turn.as_secs_f64() * cold.turns);
-        let first = cold.since.max(gathered).saturating_add(wait.unwrap_or(Duration::MAX));
-        Some(next_turn(first, turn, now).min(cold.until)).filter(|opens| *opens > now)
+        let may_start = self.started.map_or(Timestamp::MAX, |started| started + STARTUP_DELAY);
+        let period = period(cold_start, gateways);
+        let wait = Duration::try_from_secs_f64(period.as_secs_f64() * cold.periods_to_slot);
+        let first = cold.since.max(may_start).saturating_add(wait.unwrap_or(Duration::MAX));
+        Some(next_slot(first, period, now).min(cold.until)).filter(|opens| *opens > now)
     }
 
     /// Records that a number of requests were sent to an endpoint together.
     pub fn sent(&mut self, endpoint: &Endpoint, requests: usize, now: Timestamp) {
         if let Some(cold) = self.endpoints.get_mut(&endpoint.id) {
             cold.since = now;
-            cold.turns = requests as f64;
+            cold.periods_to_slot = requests as f64;
         }
     }
 
--- a/src/direct/departures.rs
+++ b/src/direct/departures.rs
@@ -7,7 +7,7 @@
 //!
 //! Gateways gossip departures, so that each endpoint has to announce its departure only once and a
 //! starting gateway learns of it. The known departures form a set that only grows, so gossip can be
-//! merged in any order. Incarnations that are no longer listed are removed after [`KEPT`].
+//! merged in any order. Incarnations that are no longer listed are removed after [`RETENTION`].
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,17 +19,17 @@
 
 /// How long a departure is kept after its incarnation was last listed or announced: entries may
 /// expire and be restored while their publisher is unavailable for minutes.
-const KEPT: Duration = Duration::from_secs(600);
+const RETENTION: Duration = Duration::from_secs(600);
 /// How often departures are checked for expiry.
-const FORGET_EVERY: Duration = Duration::from_secs(5);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 /// Maximum number of departures that are kept; bounds memory. 3,000 endpoints are expected in two
 /// years, few of which leave at the same time.
-const MOST: usize = 4_096;
+const MAX_DEPARTURES: usize = 4_096;
 /// Number of heartbeats with which each gateway gossips a departure, to eight peers each. By
 /// calculation, one departure in 9,000,000 is then gossiped by none of 580 gateways.
-const TOLD: u8 = 2;
+const HEARTBEATS_PER_CHANGE: u8 = 2;
 /// Maximum number of departures in one heartbeat; the others follow with the next ones.
-const MOST_TOLD: usize = 256;
+const MAX_PER_HEARTBEAT: usize = 256;
 
 /// Incarnation of an endpoint that is leaving.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -48,101 +48,109 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Known {
-    heard: Timestamp,
+struct Gossiped {
+    last_seen: Timestamp,
     /// Number of heartbeats that still have to carry this departure.
-    to_tell: u8,
+    heartbeats_left: u8,
 }
 
 /// Departures that one gateway knows.
 #[derive(Debug, Default)]
 pub struct Departures {
-    lives: BTreeMap<Departure, Known>,
+    entries: BTreeMap<Departure, Gossiped>,
     /// Whether a departure still has to be gossiped.
-    has_news: bool,
+    has_changes: bool,
     /// When departures are next checked for expiry.
-    forget_from: Timestamp,
+    next_expiry: Timestamp,
 }
 
 impl Departures {
     /// Records a departure announced by the endpoint or by another gateway; returns whether it is
     /// new.
     pub fn heard(&mut self, departure: Departure, now: Timestamp) -> bool {
-        if let Some(known) = self.lives.get_mut(&departure) {
-            known.heard = now;
+        if let Some(entry) = self.entries.get_mut(&departure) {
+            entry.last_seen = now;
             return false;
         }
         if self.is_full() {
-            let oldest = self.lives.iter().min_by_key(|(_, known)| known.heard);
+            let oldest = self.entries.iter().min_by_key(|(_, entry)| entry.last_seen);
             if let Some(oldest) = oldest.map(|(departure, _)| departure.clone()) {
-                self.lives.remove(&oldest);
+                self.entries.remove(&oldest);
             }
         }
-        self.has_news = true;
-        self.lives.insert(departure, Known { heard: now, to_tell: TOLD });
+        self.has_changes = true;
+        self.entries
+            .insert(departure, Gossiped { last_seen: now, heartbeats_left: HEARTBEATS_PER_CHANGE });
         true
     }
 
     /// Whether an incarnation is known to be leaving.
     pub fn has(&self, departure: &Departure) -> bool {
-        self.lives.contains_key(departure)
+        self.entries.contains_key(departure)
     }
 
     /// Whether the next new departure replaces the oldest one.
     pub fn is_full(&self) -> bool {
-        self.lives.len() >= MOST
+        self.entries.len() >= MAX_DEPARTURES
     }
 
     /// Number of known departures.
     pub fn len(&self) -> usize {
-        self.lives.len()
+        self.entries.len()
     }
 
     /// Whether no departure is known.
     pub fn is_empty(&self) -> bool {
-        self.lives.is_empty()
+        self.entries.is_empty()
     }
 
     /// Departures to gossip with the next heartbeat, without those that the list already shows.
-    pub fn news(&mut self, is_listed_so: impl Fn(&Departure) -> bool) -> Vec<Departure> {
-        if !self.has_news {
+    pub fn news(&mut self, is_listed_as_leaving: impl Fn(&Departure) -> bool) -> Vec<Departure> {
+        if !self.has_changes {
             return Vec::new();
         }
         let mut news = Vec::new();
-        for (departure, known) in self.lives.iter_mut().filter(|(_, known)| known.to_tell > 0) {
-            if is_listed_so(departure) {
-                known.to_tell = 0;
-            } else if news.len() < MOST_TOLD {
-                known.to_tell -= 1;
+        for (departure, entry) in
+            self.entries.iter_mut().filter(|(_, entry)| entry.heartbeats_left > 0)
+        {
+            if is_listed_as_leaving(departure) {
+                entry.heartbeats_left = 0;
+            } else if news.len() < MAX_PER_HEARTBEAT {
+                entry.heartbeats_left -= 1;
                 news.push(departure.clone());
             }
         }
-        self.has_news = self.lives.values().any(|known| known.to_tell > 0);
+        self.has_changes = self.entries.values().any(|entry| entry.heartbeats_left > 0);
         news
     }
 
     /// Departures sent to a gateway that joins: the latest ones that the list does not show.
-    pub fn all(&self, is_listed_so: impl Fn(&Departure) -> bool) -> Vec<Departure> {
-        let untold = self.lives.iter().filter(|(departure, _)| !is_listed_so(departure));
-        let mut untold: Vec<_> = untold.map(|(d, known)| (known.heard, d)).collect();
-        untold.sort_unstable_by(|a, b| b.cmp(a));
-        untold.into_iter().take(MOST_TOLD).map(|(_, departure)| departure.clone()).collect()
+    pub fn all(&self, is_listed_as_leaving: impl Fn(&Departure) -> bool) -> Vec<Departure> {
+        let unlisted =
+            self.entries.iter().filter(|(departure, _)| !is_listed_as_leaving(departure));
+        let mut unlisted: Vec<_> = unlisted.map(|(d, entry)| (entry.last_seen, d)).collect();
+        unlisted.sort_unstable_by(|a, b| b.cmp(a));
+        unlisted
+            .into_iter()
+            .take(MAX_PER_HEARTBEAT)
+            .map(|(_, departure)| departure.clone())
+            .collect()
     }
 
-    /// Removes departures that have not been listed or announced for [`KEPT`]; returns whether any
+    /// Removes departures not listed or announced for [`RETENTION`]; returns whether any
     /// was removed.
     pub fn forget(&mut self, is_listed: impl Fn(&Departure) -> bool, now: Timestamp) -> bool {
-        if now < self.forget_from {
+        if now < self.next_expiry {
             return false;
         }
-        self.forget_from = now + FORGET_EVERY;
-        let before = self.lives.len();
-        self.lives.retain(|departure, known| {
+        self.next_expiry = now + EXPIRY_INTERVAL;
+        let before = self.entries.len();
+        self.entries.retain(|departure, entry| {
             if is_listed(departure) {
-                known.heard = known.heard.max(now);
+                entry.last_seen = entry.last_seen.max(now);
             }
-            now < known.heard + KEPT
+            now < entry.last_seen + RETENTION
         });
-        self.lives.len() != before
+        self.entries.len() != before
     }
 }
--- a/src/direct/gates.rs
+++ b/src/direct/gates.rs
@@ -17,10 +17,10 @@
 
 /// How long a closed gate is kept. A message is sent within this time after it was queued, or its
 /// connection attempt has timed out; nothing new is queued for a closed gate.
-const KEPT: Duration = Duration::from_secs(60);
+const RETENTION: Duration = Duration::from_secs(60);
 
 #[derive(Debug, Clone, Copy)]
-struct Closed {
+struct Gate {
     /// No new work, permanently: the endpoint is leaving.
     leaving: bool,
     /// No messages at all until this time.
@@ -33,33 +33,39 @@
 /// Gates of all endpoints, shared by the tasks of one gateway.
 #[derive(Debug, Clone, Default)]
 pub struct Gates {
-    closed: Arc<Mutex<HashMap<(Name, u64), Closed>>>,
+    gates: Arc<Mutex<HashMap<(Name, u64), Gate>>>,
 }
 
 impl Gates {
-    fn lock(&self) -> MutexGuard<'_, HashMap<(Name, u64), Closed>> {
-        self.closed.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, HashMap<(Name, u64), Gate>> {
+        self.gates.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Blocks an incarnation: all messages until a time, or, without one, new work permanently.
-    pub fn close(&self, endpoint: Name, life: u64, until: Option<Timestamp>, now: Timestamp) {
-        let mut closed = self.lock();
-        let gate = gate(&mut closed, endpoint, life, now);
+    pub fn close(
+        &self,
+        endpoint: Name,
+        incarnation: u64,
+        until: Option<Timestamp>,
+        now: Timestamp,
+    ) {
+        let mut gates = self.lock();
+        let gate = gate(&mut gates, endpoint, incarnation, now);
         gate.leaving |= until.is_none();
         gate.until = gate.until.max(until.unwrap_or(now));
-        gate.kept_until = gate.until.max(now + KEPT);
+        gate.kept_until = gate.until.max(now + RETENTION);
     }
 
     /// Sets whether messages to an incarnation need a permit.
-    pub fn limit(&self, endpoint: Name, life: u64, is_limited: bool, now: Timestamp) {
-        let mut closed = self.lock();
-        gate(&mut closed, endpoint, life, now).is_limited = is_limited;
+    pub fn limit(&self, endpoint: Name, incarnation: u64, is_limited: bool, now: Timestamp) {
+        let mut gates = self.lock();
+        gate(&mut gates, endpoint, incarnation, now).is_limited = is_limited;
     }
 
     /// Whether messages to this incarnation of an endpoint need a permit.
     pub fn is_limited(&self, endpoint: &Endpoint) -> bool {
-        let closed = self.lock();
-        let gate = closed.get(&(endpoint.id.clone(), endpoint.incarnation));
+        let gates = self.lock();
+        let gate = gates.get(&(endpoint.id.clone(), endpoint.incarnation));
         gate.is_some_and(|gate| gate.is_limited)
     }
 
@@ -71,27 +77,27 @@
         permit: Option<Timestamp>,
         now: Timestamp,
     ) -> bool {
-        let closed = self.lock();
-        if closed.is_empty() {
+        let gates = self.lock();
+        if gates.is_empty() {
             return true;
         }
-        let gate = closed.get(&(endpoint.id.clone(), endpoint.incarnation));
+        let gate = gates.get(&(endpoint.id.clone(), endpoint.incarnation));
         gate.is_none_or(|gate| {
             let is_permitted = !gate.is_limited || permit.is_some_and(|until| now < until);
-            let takes_it = !gate.leaving || asked == Asked::Free;
-            now >= gate.until && takes_it && is_permitted
+            let is_accepted = !gate.leaving || asked == Asked::Free;
+            now >= gate.until && is_accepted && is_permitted
         })
     }
 }
 
 /// Returns the gate of an incarnation, open if it is new; removes gates that are no longer needed.
 fn gate(
-    closed: &mut HashMap<(Name, u64), Closed>,
+    gates: &mut HashMap<(Name, u64), Gate>,
     endpoint: Name,
-    life: u64,
+    incarnation: u64,
     now: Timestamp,
-) -> &mut Closed {
-    closed.retain(|_, gate| gate.is_limited || now < gate.kept_until);
-    let open = Closed { leaving: false, until: now, is_limited: false, kept_until: now + KEPT };
-    closed.entry((endpoint, life)).or_insert(open)
+) -> &mut Gate {
+    gates.retain(|_, gate| gate.is_limited || now < gate.kept_until);
+    let open = Gate { leaving: false, until: now, is_limited: false, kept_until: now + RETENTION };
+    gates.entry((endpoint, incarnation)).or_insert(open)
 }
--- a/src/direct/limits/known.rs
+++ b/src/direct/limits/known.rs
@@ -20,23 +20,23 @@
 use crate::message::Timestamp;
 
 /// How long after its limit ended an endpoint becomes unlimited. Until then its rate doubles every
-/// [`DOUBLES_EVERY`].
-const FREED_AFTER: Duration = Duration::from_secs(5);
+/// [`DOUBLING_INTERVAL`].
+const UNLIMITED_AFTER: Duration = Duration::from_secs(5);
 /// How often the rate doubles after a limit ended.
-const DOUBLES_EVERY: Duration = Duration::from_secs(1);
+const DOUBLING_INTERVAL: Duration = Duration::from_secs(1);
 /// How long an entry is kept after its last change if its incarnation is no longer listed or no
 /// longer limited.
-const KEPT: Duration = Duration::from_secs(600);
+const RETENTION: Duration = Duration::from_secs(600);
 /// How often entries are checked for expiry.
-const FORGET_EVERY: Duration = Duration::from_secs(5);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 /// Maximum number of incarnations that are kept; bounds memory. 3,000 endpoints are expected in two
 /// years, few of which announce a limit at the same time.
-const MOST: usize = 4_096;
+const MAX_ENTRIES: usize = 4_096;
 /// Number of heartbeats with which each gateway gossips a change, to eight peers each. By
 /// calculation, one change in 9,000,000 is then gossiped by none of 580 gateways.
-const TOLD: u8 = 2;
+const HEARTBEATS_PER_CHANGE: u8 = 2;
 /// Maximum number of limits in one heartbeat; the others follow with the next ones.
-const MOST_TOLD: usize = 256;
+const MAX_PER_HEARTBEAT: usize = 256;
 
 /// Incarnation of an endpoint: the endpoint's id and the time of its start.
 pub type Life = (Name, u64);
@@ -55,34 +55,34 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Known {
+struct Entry {
     version: u64,
     limit: RateLimit,
     /// Last announced rate; the starting point of the growth after the limit ended.
-    last_named: RequestRate,
+    last_announced: RequestRate,
     /// When this gateway learned of `limit`.
     since: Timestamp,
     /// Number of heartbeats that still have to carry this entry.
-    to_tell: u8,
+    heartbeats_left: u8,
 }
 
-impl Known {
+impl Entry {
     /// Rate allowed for the endpoint, from all gateways together; `None` if it is unlimited.
     fn rate(&self, now: Timestamp) -> Option<RequestRate> {
         let RateLimit::None = self.limit else {
-            return Some(self.last_named);
+            return Some(self.last_announced);
         };
         let age = now.saturating_sub(self.since);
-        let doublings = (age.as_secs_f64() / DOUBLES_EVERY.as_secs_f64()) as i32;
-        let first = self.last_named.max(RequestRate::ONE).as_per_second();
-        (age < FREED_AFTER).then(|| RequestRate::per_second(first * 2f64.powi(doublings)))
+        let doublings = (age.as_secs_f64() / DOUBLING_INTERVAL.as_secs_f64()) as i32;
+        let first = self.last_announced.max(RequestRate::ONE).as_per_second();
+        (age < UNLIMITED_AFTER).then(|| RequestRate::per_second(first * 2f64.powi(doublings)))
     }
 
     /// Whether a gossiped entry replaces this one: it has a higher version, or the same version and
     /// a stricter limit.
     fn is_superseded_by(&self, version: u64, limit: RateLimit) -> bool {
         let is_stricter = match (limit, self.limit) {
-            (RateLimit::At(told), RateLimit::At(known)) => told < known,
+            (RateLimit::At(received), RateLimit::At(known)) => received < known,
             (RateLimit::At(_), RateLimit::None) => true,
             (RateLimit::None, _) => false,
         };
@@ -94,23 +94,23 @@
 #[derive(Debug, Clone, Default)]
 pub struct KnownLimits {
     /// By endpoint id, then by incarnation.
-    endpoints: BTreeMap<Name, BTreeMap<u64, Known>>,
+    endpoints: BTreeMap<Name, BTreeMap<u64, Entry>>,
     /// Number of incarnations in `endpoints`.
     count: usize,
     /// Whether an entry still has to be gossiped.
-    has_news: bool,
+    has_changes: bool,
     /// When entries are next checked for expiry.
-    forget_from: Timestamp,
+    next_expiry: Timestamp,
     /// Incarnations whose limit ended and that were still limited at the last [`Self::take_freed`].
-    freeing: Vec<Life>,
+    ramping: Vec<Life>,
 }
 
 impl KnownLimits {
-    fn get(&self, id: &str, incarnation: u64) -> Option<&Known> {
+    fn get(&self, id: &str, incarnation: u64) -> Option<&Entry> {
         self.endpoints.get(id)?.get(&incarnation)
     }
 
-    fn iter(&self) -> impl Iterator<Item = (&Name, u64, &Known)> {
+    fn iter(&self) -> impl Iterator<Item = (&Name, u64, &Entry)> {
         let lives = |(id, lives)| std::iter::repeat(id).zip(lives);
         self.endpoints.iter().flat_map(lives).map(|(id, (life, known))| (id, *life, known))
     }
@@ -133,8 +133,8 @@
         match (known.map(|known| known.limit), limit) {
             (None | Some(RateLimit::None), RateLimit::None) => false,
             (None | Some(RateLimit::None), RateLimit::At(_)) => true,
-            (Some(RateLimit::At(known)), RateLimit::At(told)) => {
-                told < known || told > known && is_newer
+            (Some(RateLimit::At(known)), RateLimit::At(stated)) => {
+                stated < known || stated > known && is_newer
             }
             (Some(RateLimit::At(_)), RateLimit::None) => is_newer,
         }
@@ -159,31 +159,37 @@
     }
 
     fn set(&mut self, life: Life, version: u64, limit: RateLimit, now: Timestamp) {
-        let before = self.get(&life.0, life.1).map(|known| known.last_named);
+        let before = self.get(&life.0, life.1).map(|known| known.last_announced);
         if before.is_none() {
-            self.make_room(now);
+            self.evict_one(now);
             self.count += 1;
         }
-        let last_named = match limit {
+        let last_announced = match limit {
             RateLimit::At(rate) => rate,
             RateLimit::None => before.unwrap_or(RequestRate::ONE),
         };
-        self.freeing.retain(|freeing| *freeing != life);
+        self.ramping.retain(|ramping| *ramping != life);
         if limit == RateLimit::None {
-            self.freeing.push(life.clone());
+            self.ramping.push(life.clone());
         }
-        self.has_news = true;
-        let known = Known { version, limit, last_named, since: now, to_tell: TOLD };
+        self.has_changes = true;
+        let known = Entry {
+            version,
+            limit,
+            last_announced,
+            since: now,
+            heartbeats_left: HEARTBEATS_PER_CHANGE,
+        };
         self.endpoints.entry(life.0).or_default().insert(life.1, known);
     }
 
     /// Removes one entry if the maximum is reached: one without a limit in force if there is one,
     /// and of several the one that changed the longest time ago.
-    fn make_room(&mut self, now: Timestamp) {
-        if self.count < MOST {
+    fn evict_one(&mut self, now: Timestamp) {
+        if self.count < MAX_ENTRIES {
             return;
         }
-        let order = |known: &Known| (known.rate(now).is_some(), known.since);
+        let order = |known: &Entry| (known.rate(now).is_some(), known.since);
         let first = self.iter().min_by_key(|(_, _, known)| order(known));
         if let Some(life) = first.map(|(id, life, _)| (id.clone(), life)) {
             self.remove(&life);
@@ -204,7 +210,7 @@
     /// The entry of an endpoint, in the form in which it is gossiped.
     pub fn account(&self, endpoint: &Endpoint) -> Option<LimitTold> {
         let known = self.get(&endpoint.id, endpoint.incarnation)?;
-        Some(told(&endpoint.id, endpoint.incarnation, known))
+        Some(announcement(&endpoint.id, endpoint.incarnation, known))
     }
 
     /// All known incarnations.
@@ -214,38 +220,38 @@
 
     /// Returns the incarnations that became unlimited since the last call.
     pub fn take_freed(&mut self, now: Timestamp) -> Vec<Life> {
-        if self.freeing.is_empty() {
+        if self.ramping.is_empty() {
             return Vec::new();
         }
-        let mut freeing = std::mem::take(&mut self.freeing);
-        let is_free = |life: &mut Life| self.rate_of(life, now).is_none();
-        let freed = freeing.extract_if(.., is_free).collect();
-        self.freeing = freeing;
-        freed
+        let mut ramping = std::mem::take(&mut self.ramping);
+        let is_unlimited = |life: &mut Life| self.rate_of(life, now).is_none();
+        let unlimited = ramping.extract_if(.., is_unlimited).collect();
+        self.ramping = ramping;
+        unlimited
     }
 
     /// When the next incarnation becomes unlimited.
     pub fn next_freed(&self) -> Option<Timestamp> {
-        let since = self.freeing.iter().filter_map(|life| self.get(&life.0, life.1));
-        since.map(|known| known.since + FREED_AFTER).min()
+        let since = self.ramping.iter().filter_map(|life| self.get(&life.0, life.1));
+        since.map(|known| known.since + UNLIMITED_AFTER).min()
     }
 
     /// Whether entries have to be gossiped or checked for expiry.
     pub fn is_due(&self, now: Timestamp) -> bool {
-        self.has_news || !self.is_empty() && now >= self.forget_from
+        self.has_changes || !self.is_empty() && now >= self.next_expiry
     }
 
     /// Changed limits to gossip with the next heartbeat.
     pub fn news(&mut self) -> Vec<LimitTold> {
         let mut news = Vec::new();
-        self.has_news = false;
+        self.has_changes = false;
         for (id, lives) in &mut self.endpoints {
-            for (life, known) in lives.iter_mut().filter(|(_, known)| known.to_tell > 0) {
-                if news.len() < MOST_TOLD {
-                    known.to_tell -= 1;
-                    news.push(told(id, *life, known));
+            for (life, known) in lives.iter_mut().filter(|(_, known)| known.heartbeats_left > 0) {
+                if news.len() < MAX_PER_HEARTBEAT {
+                    known.heartbeats_left -= 1;
+                    news.push(announcement(id, *life, known));
                 }
-                self.has_news |= known.to_tell > 0;
+                self.has_changes |= known.heartbeats_left > 0;
             }
         }
         news
@@ -253,24 +259,28 @@
 
     /// Limits sent to a gateway that joins: those in force, the most recently changed first.
     pub fn all(&self, now: Timestamp) -> Vec<LimitTold> {
-        let mut held: Vec<_> = self.iter().filter(|(.., k)| k.rate(now).is_some()).collect();
-        held.sort_unstable_by_key(|(id, life, known)| (Reverse(known.since), *id, *life));
-        held.into_iter().take(MOST_TOLD).map(|(id, life, known)| told(id, life, known)).collect()
+        let mut in_force: Vec<_> = self.iter().filter(|(.., k)| k.rate(now).is_some()).collect();
+        in_force.sort_unstable_by_key(|(id, life, known)| (Reverse(known.since), *id, *life));
+        in_force
+            .into_iter()
+            .take(MAX_PER_HEARTBEAT)
+            .map(|(id, life, known)| announcement(id, life, known))
+            .collect()
     }
 
-    /// Removes entries that have not changed for [`KEPT`] and whose incarnation is not listed or
+    /// Removes entries that have not changed for [`RETENTION`] and whose incarnation is not listed or
     /// not limited; returns their incarnations.
     pub fn forget(&mut self, is_listed: impl Fn(&Life) -> bool, now: Timestamp) -> Vec<Life> {
-        if now < self.forget_from {
+        if now < self.next_expiry {
             return Vec::new();
         }
-        self.forget_from = now + FORGET_EVERY;
+        self.next_expiry = now + EXPIRY_INTERVAL;
         let lives = self.iter().map(|(id, life, known)| ((id.clone(), life), known));
-        let old = lives.filter(|(_, known)| now >= known.since + KEPT);
-        let over = old.filter(|(life, known)| known.rate(now).is_none() || !is_listed(life));
-        let over: Vec<Life> = over.map(|(life, _)| life).collect();
-        over.iter().for_each(|life| self.remove(life));
-        over
+        let old = lives.filter(|(_, known)| now >= known.since + RETENTION);
+        let expired = old.filter(|(life, known)| known.rate(now).is_none() || !is_listed(life));
+        let expired: Vec<Life> = expired.map(|(life, _)| life).collect();
+        expired.iter().for_each(|life| self.remove(life));
+        expired
     }
 
     /// Number of known incarnations.
@@ -284,7 +294,7 @@
     }
 }
 
-fn told(endpoint: &Name, incarnation: u64, known: &Known) -> LimitTold {
+fn announcement(endpoint: &Name, incarnation: u64, known: &Entry) -> LimitTold {
     LimitTold {
         endpoint: endpoint.clone(),
         incarnation,
--- a/src/direct/limits/limiter.rs
+++ b/src/direct/limits/limiter.rs
@@ -14,12 +14,12 @@
 use crate::message::Timestamp;
 
 /// Share of a limit that is issued as permits: messages arrive closer together than they were sent.
-const USED: f64 = 0.9;
+const ISSUED_SHARE: f64 = 0.9;
 /// Minimum number of permits per second. An endpoint whose limit is 0 still gets one request every
 /// ten seconds, since only a response shows whether the limit still applies.
-const LEAST_PER_SECOND: f64 = 0.1;
+const MIN_PER_SECOND: f64 = 0.1;
 /// Maximum number of queued permit requests for one endpoint; bounds memory.
-const MOST_WAITING: usize = 1_024;
+const MAX_QUEUED: usize = 1_024;
 
 /// Interval between two permits of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -29,7 +29,7 @@
     /// Interval for this gateway's `part` of a limit, which depends on the gateways that it hears
     /// from.
     pub fn new(limit: RequestRate, part: f64) -> Self {
-        let per_second = limit.as_per_second().max(LEAST_PER_SECOND) * USED * part;
+        let per_second = limit.as_per_second().max(MIN_PER_SECOND) * ISSUED_SHARE * part;
         Self(Duration::try_from_secs_f64(per_second.recip()).unwrap_or(Duration::MAX))
     }
 
@@ -74,44 +74,44 @@
 struct Endpoint {
     /// Nominal time of the last permit, which was issued then or up to one interval later; see
     /// [`Self::give`].
-    last: Timestamp,
-    waiting: BTreeMap<Rank, Asker>,
+    last_issued: Timestamp,
+    queue: BTreeMap<Rank, Asker>,
     /// When the first queued request is due, as last calculated.
     due: Option<Timestamp>,
 }
 
 impl Endpoint {
     /// When a request with `others` requests queued before it gets a permit.
-    fn turn(&self, pace: Pace, others: usize, now: Timestamp) -> Timestamp {
-        self.last.saturating_add(pace.0).max(now).saturating_add(pace.times(others))
+    fn available_at(&self, pace: Pace, ahead: usize, now: Timestamp) -> Timestamp {
+        self.last_issued.saturating_add(pace.0).max(now).saturating_add(pace.times(ahead))
     }
 
     /// Counts one permit as issued. At most one unused interval of the past can be made up for.
-    fn give(&mut self, pace: Pace, now: Timestamp) {
+    fn issue(&mut self, pace: Pace, now: Timestamp) {
         let earliest = now.saturating_sub(pace.0);
-        self.last = self.last.saturating_add(pace.0).max(earliest).min(now);
+        self.last_issued = self.last_issued.saturating_add(pace.0).max(earliest).min(now);
     }
 
     /// Issues due permits and refuses queued requests that can no longer be granted in time.
-    fn serve(&mut self, pace: Pace, now: Timestamp, decided: &mut Vec<Decided>) {
-        while now >= self.turn(pace, 0, now)
-            && let Some((_, asker)) = self.waiting.pop_first()
+    fn serve(&mut self, pace: Pace, now: Timestamp, decisions: &mut Vec<Decided>) {
+        while now >= self.available_at(pace, 0, now)
+            && let Some((_, asker)) = self.queue.pop_first()
         {
-            self.give(pace, now);
-            decided.push(Decided::Given(asker));
+            self.issue(pace, now);
+            decisions.push(Decided::Given(asker));
         }
-        let first = self.turn(pace, 0, now);
-        let mut turn = first;
-        self.waiting.retain(|(_, latest, _), asker| {
-            let fits = turn <= *latest;
-            if fits {
-                turn = turn.saturating_add(pace.0);
+        let first = self.available_at(pace, 0, now);
+        let mut available_at = first;
+        self.queue.retain(|(_, latest, _), asker| {
+            let is_in_time = available_at <= *latest;
+            if is_in_time {
+                available_at = available_at.saturating_add(pace.0);
             } else {
-                decided.push(Decided::Refused(*asker, turn.saturating_sub(now)));
+                decisions.push(Decided::Refused(*asker, available_at.saturating_sub(now)));
             }
-            fits
+            is_in_time
         });
-        self.due = (!self.waiting.is_empty()).then_some(first);
+        self.due = (!self.queue.is_empty()).then_some(first);
     }
 }
 
@@ -119,31 +119,31 @@
 #[derive(Debug, Default)]
 pub struct Limiter {
     endpoints: BTreeMap<Life, Endpoint>,
-    asked: u64,
+    arrivals: u64,
 }
 
 impl Limiter {
     /// Handles a permit request. The first permit for an endpoint is issued only after a full
     /// interval, since the limit was learned from a response to a message that has just been sent.
     pub fn ask(&mut self, life: &Life, pace: Pace, ask: Ask, now: Timestamp) -> Vec<Decided> {
-        self.asked += 1;
-        let new = || Endpoint { last: now, waiting: BTreeMap::new(), due: None };
-        let endpoint = self.endpoints.entry(life.clone()).or_insert_with(new);
-        let mut decided = Vec::new();
-        endpoint.serve(pace, now, &mut decided);
-        let rank = (ask.priority, ask.latest, self.asked);
-        let before = endpoint.waiting.range(..rank).count();
-        let turn = endpoint.turn(pace, before, now);
-        if turn <= now {
-            endpoint.give(pace, now);
-            decided.push(Decided::Given(ask.asker));
-        } else if turn > ask.latest || endpoint.waiting.len() >= MOST_WAITING {
-            decided.push(Decided::Refused(ask.asker, turn.saturating_sub(now)));
+        self.arrivals += 1;
+        let new_entry = || Endpoint { last_issued: now, queue: BTreeMap::new(), due: None };
+        let endpoint = self.endpoints.entry(life.clone()).or_insert_with(new_entry);
+        let mut decisions = Vec::new();
+        endpoint.serve(pace, now, &mut decisions);
+        let rank = (ask.priority, ask.latest, self.arrivals);
+        let ahead = endpoint.queue.range(..rank).count();
+        let available_at = endpoint.available_at(pace, ahead, now);
+        if available_at <= now {
+            endpoint.issue(pace, now);
+            decisions.push(Decided::Given(ask.asker));
+        } else if available_at > ask.latest || endpoint.queue.len() >= MAX_QUEUED {
+            decisions.push(Decided::Refused(ask.asker, available_at.saturating_sub(now)));
         } else {
-            endpoint.waiting.insert(rank, ask.asker);
-            endpoint.serve(pace, now, &mut decided);
+            endpoint.queue.insert(rank, ask.asker);
+            endpoint.serve(pace, now, &mut decisions);
         }
-        decided
+        decisions
     }
 
     /// Issues due permits. Also processes `changed`, an endpoint whose limit changed. `pace`
@@ -156,20 +156,20 @@
         retry: Duration,
         now: Timestamp,
     ) -> Vec<Decided> {
-        let mut decided = Vec::new();
+        let mut decisions = Vec::new();
         self.endpoints.retain(|life, endpoint| {
             if changed != Some(life) && endpoint.due.is_none_or(|due| now < due) {
                 return true;
             }
             let Some(pace) = pace(life) else {
-                let waiting = std::mem::take(&mut endpoint.waiting).into_values();
-                decided.extend(waiting.map(|asker| Decided::Refused(asker, retry)));
+                let queue = std::mem::take(&mut endpoint.queue).into_values();
+                decisions.extend(queue.map(|asker| Decided::Refused(asker, retry)));
                 return false;
             };
-            endpoint.serve(pace, now, &mut decided);
+            endpoint.serve(pace, now, &mut decisions);
             true
         });
-        decided
+        decisions
     }
 
     /// When [`Self::look`] is due.
@@ -180,7 +180,7 @@
     /// Removes the queued requests of a gateway that was removed from the members.
     pub fn lost(&mut self, gateway: SocketAddr) {
         for endpoint in self.endpoints.values_mut() {
-            endpoint.waiting.retain(|_, asker| asker.gateway != gateway);
+            endpoint.queue.retain(|_, asker| asker.gateway != gateway);
         }
     }
 
--- a/src/direct/limits/permits.rs
+++ b/src/direct/limits/permits.rs
@@ -10,7 +10,7 @@
 
 /// How long after the longest wait of a permit request its limiter counts as unreachable if it has
 /// not decided.
-const PATIENCE: Duration = Duration::from_millis(150);
+const DECISION_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Kind of message for which a permit is needed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -65,14 +65,14 @@
 
 impl Asked {
     fn given_up(&self) -> Timestamp {
-        self.at.saturating_add(self.wanted.wait).saturating_add(PATIENCE)
+        self.at.saturating_add(self.wanted.wait).saturating_add(DECISION_TIMEOUT)
     }
 }
 
 /// Pending permit requests, by number.
 #[derive(Debug, Default)]
 pub struct Permits {
-    last: u64,
+    last_number: u64,
     asked: BTreeMap<u64, Asked>,
     given_up: BTreeSet<(Timestamp, u64)>,
 }
@@ -80,10 +80,10 @@
 impl Permits {
     /// Records a permit request; returns its number.
     pub fn ask(&mut self, asked: Asked) -> u64 {
-        self.last += 1;
-        self.given_up.insert((asked.given_up(), self.last));
-        self.asked.insert(self.last, asked);
-        self.last
+        self.last_number += 1;
+        self.given_up.insert((asked.given_up(), self.last_number));
+        self.asked.insert(self.last_number, asked);
+        self.last_number
     }
 
     /// Removes and returns the request that a limiter decided; `None` if none with this number is
@@ -106,12 +106,12 @@
 
     /// Removes and returns the requests that were sent to a gateway.
     pub fn take_of(&mut self, limiter: SocketAddr) -> Vec<Asked> {
-        let of_it = self.asked.extract_if(.., |_, asked| asked.limiter == limiter);
-        let of_it: Vec<_> = of_it.collect();
-        for (number, asked) in &of_it {
+        let sent = self.asked.extract_if(.., |_, asked| asked.limiter == limiter);
+        let sent: Vec<_> = sent.collect();
+        for (number, asked) in &sent {
             self.given_up.remove(&(asked.given_up(), *number));
         }
-        of_it.into_iter().map(|(_, asked)| asked).collect()
+        sent.into_iter().map(|(_, asked)| asked).collect()
     }
 
     /// When [`Self::take_overdue`] is due.
--- a/src/direct/limits/turns.rs
+++ b/src/direct/limits/turns.rs
@@ -8,35 +8,36 @@
 
 /// Retry times of an endpoint, by the priority of the refused permit request.
 #[derive(Debug, Clone, Default)]
-struct Refused {
+struct EndpointRetries {
     incarnation: u64,
-    turns: BTreeMap<u8, Timestamp>,
+    by_priority: BTreeMap<u8, Timestamp>,
 }
 
 /// Retry times of endpoints that recently refused a permit.
 #[derive(Debug, Clone, Default)]
 pub struct Turns {
-    endpoints: HashMap<Name, Refused>,
+    endpoints: HashMap<Name, EndpointRetries>,
 }
 
 impl Turns {
     /// Records that a permit was refused to a request of this priority, and when one would be
     /// available.
     pub fn refused(&mut self, endpoint: &Endpoint, priority: u8, turn: Timestamp) {
-        let refused = self.endpoints.entry(endpoint.id.clone()).or_default();
-        if refused.incarnation != endpoint.incarnation {
-            *refused = Refused { incarnation: endpoint.incarnation, ..Refused::default() };
+        let retries = self.endpoints.entry(endpoint.id.clone()).or_default();
+        if retries.incarnation != endpoint.incarnation {
+            *retries =
+                EndpointRetries { incarnation: endpoint.incarnation, ..EndpointRetries::default() };
         }
-        refused.turns.insert(priority, turn);
+        retries.by_priority.insert(priority, turn);
     }
 
     /// Earliest time for a permit of this priority, as far as is known: the latest retry time among
     /// requests of the same or a more urgent priority, which are queued before it.
     pub fn turn(&self, endpoint: &Endpoint, priority: u8, now: Timestamp) -> Option<Timestamp> {
-        let refused = self.endpoints.get(&endpoint.id)?;
-        let is_same = refused.incarnation == endpoint.incarnation;
-        let before = refused.turns.range(..=priority).map(|(_, turn)| *turn);
-        before.filter(|turn| is_same && *turn > now).max()
+        let retries = self.endpoints.get(&endpoint.id)?;
+        let is_same = retries.incarnation == endpoint.incarnation;
+        let ahead = retries.by_priority.range(..=priority).map(|(_, turn)| *turn);
+        ahead.filter(|turn| is_same && *turn > now).max()
     }
 
     /// Removes endpoints that are no longer listed.
--- a/src/direct/poison/broken.rs
+++ b/src/direct/poison/broken.rs
@@ -18,42 +18,42 @@
 
 /// How long to wait for proof. The entry of a crashed endpoint is removed within three of its
 /// heartbeats, 3.6 s, and peers report the crash at most 2 s later.
-const WAITS_FOR_PROOF: Duration = Duration::from_secs(6);
+const PROOF_TIMEOUT: Duration = Duration::from_secs(6);
 /// How long a call that this gateway cancelled still counts as running at its endpoint. The
 /// endpoint drops it when it notices that the connection closed, and a poison request that has
 /// started crashes its endpoint within a few hundred milliseconds.
-const GIVEN_UP_COUNTS: Duration = Duration::from_secs(1);
+const CANCELLED_VALIDITY: Duration = Duration::from_secs(1);
 /// Maximum number of runs that are remembered for one endpoint; bounds memory. An endpoint runs 32
 /// to 64 at once, from all gateways together.
-const MOST_RUNS: usize = 128;
+const MAX_RUNS: usize = 128;
 /// Maximum number of endpoints with unanswered calls; bounds memory.
-const MOST_ENDPOINTS: usize = 1_024;
+const MAX_ENDPOINTS: usize = 1_024;
 
 /// Whether an endpoint is being probed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Probe {
-    No,
-    Out,
+    Idle,
+    Sent,
     /// Another call failed since the probe was sent, so its result may be outdated.
-    OutAndAgain,
+    SentAndOutdated,
 }
 
 /// How the list entry of an endpoint compares with the incarnation that was called.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Listed {
+enum ListEntry {
     /// Listed, same incarnation.
     Same,
     /// Leaving, or removed without a sign of a crash: its calls may be aborted as planned.
     Leaving,
     /// Listed with another incarnation.
-    AnotherLife,
+    AnotherIncarnation,
 }
 
-fn listed(endpoint: &Endpoint, table: &Table) -> Listed {
+fn list_entry(endpoint: &Endpoint, table: &Table) -> ListEntry {
     match table.endpoint(&endpoint.id) {
-        Some(now) if now.incarnation != endpoint.incarnation => Listed::AnotherLife,
-        Some(now) if !now.leaving => Listed::Same,
-        _ => Listed::Leaving,
+        Some(now) if now.incarnation != endpoint.incarnation => ListEntry::AnotherIncarnation,
+        Some(now) if !now.leaving => ListEntry::Same,
+        _ => ListEntry::Leaving,
     }
 }
 
@@ -108,37 +108,37 @@
         now: Timestamp,
     ) -> Verdict {
         let key = (endpoint.id.clone(), endpoint.incarnation);
-        let standing = listed(endpoint, table);
+        let entry = list_entry(endpoint, table);
         let is_known = self.calls.contains_key(&key);
-        if !is_known && (standing == Listed::Leaving || self.calls.len() >= MOST_ENDPOINTS) {
+        if !is_known && (entry == ListEntry::Leaving || self.calls.len() >= MAX_ENDPOINTS) {
             return Verdict::Wait;
         }
         let calls = self.calls.entry(key).or_insert_with(|| Calls {
             endpoint: endpoint.clone(),
             runs: Vec::new(),
-            probe: Probe::No,
+            probe: Probe::Idle,
             proof: None,
             until: now,
         });
-        calls.until = calls.until.max(now + WAITS_FOR_PROOF);
-        if standing == Listed::AnotherLife {
+        calls.until = calls.until.max(now + PROOF_TIMEOUT);
+        if entry == ListEntry::AnotherIncarnation {
             calls.proof.get_or_insert("another life");
         }
         if let Some(proof) = calls.proof {
             let (endpoint, runs) = (endpoint.clone(), runs.to_vec());
             return Verdict::Crashed(Crashed { endpoint, runs, proof });
         }
-        let counts_for = if how == Unanswered::GivenUp { GIVEN_UP_COUNTS } else { WAITS_FOR_PROOF };
+        let valid_for = if how == Unanswered::GivenUp { CANCELLED_VALIDITY } else { PROOF_TIMEOUT };
         calls.runs.retain(|(_, until)| now < *until);
-        let room = MOST_RUNS.saturating_sub(calls.runs.len());
-        calls.runs.extend(runs.iter().take(room).map(|run| (*run, now + counts_for)));
+        let free = MAX_RUNS.saturating_sub(calls.runs.len());
+        calls.runs.extend(runs.iter().take(free).map(|run| (*run, now + valid_for)));
         match (how, calls.probe) {
-            (Unanswered::Broken, Probe::No) => {
-                calls.probe = Probe::Out;
+            (Unanswered::Broken, Probe::Idle) => {
+                calls.probe = Probe::Sent;
                 Verdict::Probe(endpoint.clone())
             }
             (Unanswered::Broken, _) => {
-                calls.probe = Probe::OutAndAgain;
+                calls.probe = Probe::SentAndOutdated;
                 Verdict::Wait
             }
             (Unanswered::Silent | Unanswered::GivenUp, _) => Verdict::Wait,
@@ -161,11 +161,11 @@
         let Some(calls) = self.calls.get_mut(&key) else {
             return Verdict::Wait;
         };
-        if calls.probe == Probe::OutAndAgain {
-            calls.probe = Probe::Out;
+        if calls.probe == Probe::SentAndOutdated {
+            calls.probe = Probe::Sent;
             return Verdict::Probe(calls.endpoint.clone());
         }
-        calls.probe = Probe::No;
+        calls.probe = Probe::Idle;
         Verdict::Wait
     }
 
@@ -176,8 +176,8 @@
             return Vec::new();
         }
         let crashes = accounts.iter().flat_map(|account| &account.crashes);
-        let lives = crashes.map(|crash| (crash.endpoint.clone(), crash.incarnation));
-        lives.filter_map(|life| self.prove(&life, "told", now)).collect()
+        let incarnations = crashes.map(|crash| (crash.endpoint.clone(), crash.incarnation));
+        incarnations.filter_map(|incarnation| self.prove(&incarnation, "told", now)).collect()
     }
 
     fn prove(&mut self, key: &(Name, u64), proof: &'static str, now: Timestamp) -> Option<Crashed> {
@@ -206,11 +206,11 @@
         let changed: Vec<_> = changed.collect();
         let mut crashed = Vec::new();
         for (key, endpoint) in changed {
-            let proof = match listed(&endpoint, table) {
+            let proof = match list_entry(&endpoint, table) {
                 _ if is_gone(&endpoint.id) => "entry gone",
-                Listed::AnotherLife => "another life",
-                Listed::Same => continue,
-                Listed::Leaving => {
+                ListEntry::AnotherIncarnation => "another life",
+                ListEntry::Same => continue,
+                ListEntry::Leaving => {
                     // An endpoint that announces its departure has not crashed.
                     self.calls.remove(&key);
                     continue;
--- a/src/direct/poison/successes.rs
+++ b/src/direct/poison/successes.rs
@@ -12,30 +12,30 @@
 
 /// How long a completed run is valid as evidence: a later version of the endpoint's program may
 /// crash on what the previous version ran.
-const SPEAKS_FOR: Duration = Duration::from_secs(60);
+const VALIDITY: Duration = Duration::from_secs(60);
 /// How long after a recorded run another one of the same fingerprint is recorded.
-const ENTERED_ANEW_AFTER: Duration = Duration::from_secs(20);
+const RECORD_INTERVAL: Duration = Duration::from_secs(20);
 /// Maximum number of runs that are recorded; bounds memory to 150 KB. A gateway that handles 20
 /// requests per second, as one of 580 does at peak load, remembers the complete last minute.
-const MOST: usize = 4_096;
+const MAX_RECORDS: usize = 4_096;
 
 /// Fingerprints that recently ran without a crash at one gateway.
 #[derive(Debug, Default)]
 pub struct Successes {
-    ran_at: HashMap<Fingerprint, Timestamp, foldhash::fast::RandomState>,
+    completed_at: HashMap<Fingerprint, Timestamp, foldhash::fast::RandomState>,
     in_order: VecDeque<(Fingerprint, Timestamp)>,
 }
 
 impl Successes {
     /// Records a completed run.
     pub fn ran(&mut self, fingerprint: Fingerprint, now: Timestamp) {
-        let before = self.ran_at.get(&fingerprint);
-        if before.is_some_and(|at| now < *at + ENTERED_ANEW_AFTER) {
+        let previous = self.completed_at.get(&fingerprint);
+        if previous.is_some_and(|at| now < *at + RECORD_INTERVAL) {
             return;
         }
-        self.ran_at.insert(fingerprint, now);
+        self.completed_at.insert(fingerprint, now);
         self.in_order.push_back((fingerprint, now));
-        while self.in_order.len() > MOST {
+        while self.in_order.len() > MAX_RECORDS {
             self.forget_oldest();
         }
     }
@@ -44,13 +44,13 @@
         let Some((fingerprint, at)) = self.in_order.pop_front() else {
             return;
         };
-        if self.ran_at.get(&fingerprint) == Some(&at) {
-            self.ran_at.remove(&fingerprint);
+        if self.completed_at.get(&fingerprint) == Some(&at) {
+            self.completed_at.remove(&fingerprint);
         }
     }
 
     /// Whether a fingerprint recently ran without a crash.
     pub fn has(&self, fingerprint: Fingerprint, now: Timestamp) -> bool {
-        self.ran_at.get(&fingerprint).is_some_and(|at| now < *at + SPEAKS_FOR)
+        self.completed_at.get(&fingerprint).is_some_and(|at| now < *at + VALIDITY)
     }
 }
--- a/src/direct/poison/suspects.rs
+++ b/src/direct/poison/suspects.rs
@@ -27,28 +27,28 @@
 const POISON_ROUNDS: u8 = 2;
 /// Number of crashes after which a fingerprint is isolated: it no longer shares a call with others.
 /// An innocent one then runs to completion, and only what crashes an endpoint alone can be poison.
-const ALONE_CRASHES: usize = 2;
+const ISOLATION_CRASHES: usize = 2;
 /// Number of crashes after which a fingerprint is quarantined even if another one ran at each of
 /// them.
-const ANYHOW_CRASHES: usize = 5;
+const UNCONDITIONAL_CRASHES: usize = 5;
 /// Maximum number of crashes that are kept per fingerprint; more would not change any decision.
-const MOST_CRASHES: usize = 6;
+const MAX_CRASHES: usize = 6;
 /// How long an entry is kept after its request was last received; refused callers get this as their
 /// retry time. Callers that respect it are then run again, so that a repaired endpoint serves them.
 pub const KEPT: Duration = Duration::from_secs(600);
 /// Minimum difference in time for which a repeated request is gossiped: otherwise each refusal
 /// would be an update for all gateways.
-const REFRESHED_AFTER: Duration = Duration::from_secs(150);
+const REFRESH_INTERVAL: Duration = Duration::from_secs(150);
 /// Maximum number of fingerprints that are kept; bounds memory to about 100 KB. Those with the most
 /// crashes are kept, and of these the latest.
-const MOST: usize = 512;
+const MAX_ENTRIES: usize = 512;
 /// Number of heartbeats that carry an update. Each goes to eight peers, all of which pass it on:
 /// 580 gateways have it after three rounds.
-const TOLD: u8 = 4;
+const HEARTBEATS_PER_CHANGE: u8 = 4;
 /// Maximum number of updates in one heartbeat, those with the most crashes first: 600 bytes.
-const NEWS_IN_HEARTBEAT: usize = 16;
+const MAX_PER_HEARTBEAT: usize = 16;
 /// Maximum number of entries in the reply to a gateway that compares digests: 4 KB.
-const MOST_TOLD: usize = 64;
+const MAX_IN_REPLY: usize = 64;
 
 /// Crash of an endpoint while a fingerprint was running there.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -65,7 +65,7 @@
 
 impl Crash {
     /// Incarnation that crashed, with the endpoint's id.
-    fn life(&self) -> (&Name, u64) {
+    fn endpoint_incarnation(&self) -> (&Name, u64) {
         (&self.endpoint, self.incarnation)
     }
 }
@@ -89,7 +89,7 @@
     crashes: Vec<Crash>,
     came: Timestamp,
     /// Number of heartbeats that still have to carry this entry.
-    to_tell: u8,
+    heartbeats_left: u8,
 }
 
 impl Suspect {
@@ -104,7 +104,7 @@
     }
 
     fn has(&self, crash: &Crash) -> bool {
-        self.crashes.iter().any(|own| own.life() == crash.life())
+        self.crashes.iter().any(|own| own.endpoint_incarnation() == crash.endpoint_incarnation())
     }
 
     /// Whether the other fingerprint was running at every crash of this one.
@@ -116,7 +116,11 @@
     fn add(&mut self, crashes: &[Crash]) -> bool {
         let before = self.crashes.clone();
         for crash in crashes {
-            match self.crashes.iter_mut().find(|known| known.life() == crash.life()) {
+            match self
+                .crashes
+                .iter_mut()
+                .find(|known| known.endpoint_incarnation() == crash.endpoint_incarnation())
+            {
                 Some(known) => {
                     known.round = known.round.max(crash.round);
                     known.alone |= crash.alone;
@@ -127,12 +131,12 @@
         // Sorted, so that all gateways keep the same crashes whatever the merge order.
         let order = |l: &Crash| (Reverse((l.alone, l.round)), l.endpoint.clone(), l.incarnation);
         self.crashes.sort_by_key(order);
-        self.crashes.truncate(MOST_CRASHES);
+        self.crashes.truncate(MAX_CRASHES);
         self.crashes != before
     }
 
     /// Sort key when the maximum is exceeded: number of crashes, then the latest time of receipt.
-    fn weight(&self) -> (usize, Timestamp) {
+    fn retention_rank(&self) -> (usize, Timestamp) {
         (self.crashes.len(), self.came)
     }
 }
@@ -142,14 +146,14 @@
 pub struct Quarantined {
     /// Fingerprint of the request or stage.
     pub fingerprint: Fingerprint,
-    /// Endpoints that crashed under it, up to [`MOST_CRASHES`].
+    /// Endpoints that crashed under it, up to [`MAX_CRASHES`].
     pub endpoints: Vec<Name>,
 }
 
 /// Fingerprints under which endpoints crashed.
 #[derive(Debug, Clone, Default)]
 pub struct Suspects {
-    of: BTreeMap<Fingerprint, Suspect>,
+    entries: BTreeMap<Fingerprint, Suspect>,
     /// Fingerprints that are refused.
     quarantined: BTreeSet<Fingerprint>,
 }
@@ -171,17 +175,17 @@
 
     /// Whether endpoints crashed under a fingerprint since it was last cleared.
     pub fn knows(&self, fingerprint: Fingerprint) -> bool {
-        self.of.get(&fingerprint).is_some_and(|s| !s.crashes.is_empty())
+        self.entries.get(&fingerprint).is_some_and(|s| !s.crashes.is_empty())
     }
 
     /// Number of rounds in which endpoints crashed under a fingerprint.
     pub fn rounds(&self, fingerprint: Fingerprint) -> u8 {
-        self.of.get(&fingerprint).map_or(0, Suspect::rounds)
+        self.entries.get(&fingerprint).map_or(0, Suspect::rounds)
     }
 
     /// Whether a fingerprint has to be isolated in a call of its own.
     pub fn goes_alone(&self, fingerprint: Fingerprint) -> bool {
-        self.of.get(&fingerprint).is_some_and(|s| s.crashes.len() >= ALONE_CRASHES)
+        self.entries.get(&fingerprint).is_some_and(|s| s.crashes.len() >= ISOLATION_CRASHES)
     }
 
     /// Number of quarantined fingerprints.
@@ -191,12 +195,12 @@
 
     /// Number of known fingerprints.
     pub fn len(&self) -> usize {
-        self.of.len()
+        self.entries.len()
     }
 
     /// Whether no fingerprint is known.
     pub fn is_empty(&self) -> bool {
-        self.of.is_empty()
+        self.entries.is_empty()
     }
 
     /// Records that an endpoint crashed while `runs` were running there; returns what is newly
@@ -211,24 +215,27 @@
         for run in runs {
             let Run { round, alone, .. } = *run;
             let crash = Crash { endpoint: endpoint.clone(), incarnation, round, alone };
-            let cleared = self.of.get(&run.fingerprint).map_or(0, |s| s.cleared);
-            self.learn(run.fingerprint, cleared, &[crash], now);
+            let cleared = self.entries.get(&run.fingerprint).map_or(0, |s| s.cleared);
+            self.merge_entry(run.fingerprint, cleared, &[crash], now);
         }
-        self.bound();
-        self.decide()
+        self.evict();
+        self.update_quarantine()
     }
 
     /// Whether a gossiped entry contains anything new; most have been received before.
     pub fn is_news(&self, account: &Account, now: Timestamp) -> bool {
         let came = now.saturating_sub(Duration::from_secs(u64::from(account.age_s)));
-        let Some(known) = self.of.get(&account.fingerprint) else {
+        let Some(known) = self.entries.get(&account.fingerprint) else {
             return true;
         };
         let covers = |crash: &Crash| {
-            let same = known.crashes.iter().find(|own| own.life() == crash.life());
+            let same = known
+                .crashes
+                .iter()
+                .find(|own| own.endpoint_incarnation() == crash.endpoint_incarnation());
             same.is_some_and(|own| own.round >= crash.round && (own.alone || !crash.alone))
         };
-        let is_later = account.cleared > known.cleared || came > known.came + REFRESHED_AFTER;
+        let is_later = account.cleared > known.cleared || came > known.came + REFRESH_INTERVAL;
         let adds = account.cleared == known.cleared && !account.crashes.iter().all(covers);
         is_later || adds
     }
@@ -242,24 +249,24 @@
             }
             let came = now.saturating_sub(age);
             let Account { fingerprint, cleared, crashes, .. } = account;
-            self.learn(*fingerprint, *cleared, crashes, came);
+            self.merge_entry(*fingerprint, *cleared, crashes, came);
         }
-        self.bound();
-        self.decide()
+        self.evict();
+        self.update_quarantine()
     }
 
-    fn learn(
+    fn merge_entry(
         &mut self,
         fingerprint: Fingerprint,
         cleared: u32,
         crashes: &[Crash],
         came: Timestamp,
     ) {
-        let suspect = self.of.entry(fingerprint).or_insert_with(|| Suspect {
+        let suspect = self.entries.entry(fingerprint).or_insert_with(|| Suspect {
             cleared,
             crashes: Vec::new(),
             came,
-            to_tell: TOLD,
+            heartbeats_left: HEARTBEATS_PER_CHANGE,
         });
         if cleared < suspect.cleared {
             return;
@@ -270,31 +277,34 @@
             suspect.crashes.clear();
         }
         is_news |= suspect.add(crashes);
-        is_news |= came > suspect.came + REFRESHED_AFTER;
+        is_news |= came > suspect.came + REFRESH_INTERVAL;
         if is_news {
             suspect.came = suspect.came.max(came);
-            suspect.to_tell = TOLD;
+            suspect.heartbeats_left = HEARTBEATS_PER_CHANGE;
         }
     }
 
     /// Recalculates the quarantine; returns what is new in it. If another fingerprint ran at every
     /// crash of this one, either may be the poison: only the poison causes further crashes, so one
     /// more crash decides.
-    fn decide(&mut self) -> Vec<Quarantined> {
-        let suspected = self.of.iter().filter(|(_, suspect)| suspect.may_be_poison());
-        let mut at_life: BTreeMap<_, Vec<&Fingerprint>> = BTreeMap::new();
+    fn update_quarantine(&mut self) -> Vec<Quarantined> {
+        let suspected = self.entries.iter().filter(|(_, suspect)| suspect.may_be_poison());
+        let mut at_incarnation: BTreeMap<_, Vec<&Fingerprint>> = BTreeMap::new();
         for (fingerprint, suspect) in suspected.clone() {
             for crash in &suspect.crashes {
-                at_life.entry(crash.life()).or_default().push(fingerprint);
+                at_incarnation.entry(crash.endpoint_incarnation()).or_default().push(fingerprint);
             }
         }
         let is_explained = |fingerprint: &Fingerprint, suspect: &Suspect| {
-            let others = suspect.crashes.first().and_then(|crash| at_life.get(&crash.life()));
+            let others = suspect
+                .crashes
+                .first()
+                .and_then(|crash| at_incarnation.get(&crash.endpoint_incarnation()));
             let mut others = others.into_iter().flatten().filter(|other| **other != fingerprint);
-            others.any(|other| suspect.is_explained_by(&self.of[*other]))
+            others.any(|other| suspect.is_explained_by(&self.entries[*other]))
         };
         let is_quarantined = |(fingerprint, suspect): &(&Fingerprint, &Suspect)| {
-            suspect.crashes.len() >= ANYHOW_CRASHES || !is_explained(fingerprint, suspect)
+            suspect.crashes.len() >= UNCONDITIONAL_CRASHES || !is_explained(fingerprint, suspect)
         };
         let quarantined = suspected.filter(is_quarantined).map(|(fingerprint, _)| *fingerprint);
         let before = std::mem::take(&mut self.quarantined);
@@ -304,7 +314,7 @@
     }
 
     fn quarantine(&self, fingerprint: Fingerprint) -> Quarantined {
-        let crashes = self.of.get(&fingerprint).map(|suspect| &suspect.crashes);
+        let crashes = self.entries.get(&fingerprint).map(|suspect| &suspect.crashes);
         let endpoints = crashes.into_iter().flatten().map(|crash| crash.endpoint.clone());
         Quarantined { fingerprint, endpoints: endpoints.collect() }
     }
@@ -313,67 +323,70 @@
     /// is newly quarantined, since the cleared fingerprint no longer explains the crashes of
     /// others.
     pub fn clear(&mut self, fingerprint: Fingerprint, now: Timestamp) -> Vec<Quarantined> {
-        let Some(suspect) = self.of.get_mut(&fingerprint).filter(|s| !s.crashes.is_empty()) else {
+        let Some(suspect) = self.entries.get_mut(&fingerprint).filter(|s| !s.crashes.is_empty())
+        else {
             return Vec::new();
         };
         suspect.cleared += 1;
         suspect.crashes.clear();
         suspect.came = now;
-        suspect.to_tell = TOLD;
-        self.decide()
+        suspect.heartbeats_left = HEARTBEATS_PER_CHANGE;
+        self.update_quarantine()
     }
 
     /// Whether a repeated request has to be recorded and gossiped.
     pub fn is_refreshed_by(&self, fingerprint: Fingerprint, now: Timestamp) -> bool {
-        self.of.get(&fingerprint).is_some_and(|s| now > s.came + REFRESHED_AFTER)
+        self.entries.get(&fingerprint).is_some_and(|s| now > s.came + REFRESH_INTERVAL)
     }
 
     /// Records that a quarantined request was received again, which extends the time for which it
     /// is kept.
     pub fn came(&mut self, fingerprint: Fingerprint, now: Timestamp) {
-        if let Some(suspect) = self.of.get_mut(&fingerprint) {
+        if let Some(suspect) = self.entries.get_mut(&fingerprint) {
             suspect.came = now;
-            suspect.to_tell = TOLD;
+            suspect.heartbeats_left = HEARTBEATS_PER_CHANGE;
         }
     }
 
     /// Whether an entry has expired.
     pub fn is_outdated(&self, now: Timestamp) -> bool {
-        self.of.values().any(|suspect| now >= suspect.came + KEPT)
+        self.entries.values().any(|suspect| now >= suspect.came + KEPT)
     }
 
     /// Removes expired entries.
     pub fn forget(&mut self, now: Timestamp) {
-        self.of.retain(|_, suspect| now < suspect.came + KEPT);
-        self.decide();
+        self.entries.retain(|_, suspect| now < suspect.came + KEPT);
+        self.update_quarantine();
     }
 
-    fn bound(&mut self) {
-        if self.of.len() <= MOST {
+    fn evict(&mut self) {
+        if self.entries.len() <= MAX_ENTRIES {
             return;
         }
-        let mut weights: Vec<_> = self.of.iter().map(|(f, s)| (s.weight(), *f)).collect();
-        weights.sort_unstable_by_key(|weight| Reverse(*weight));
-        for (_, fingerprint) in weights.split_off(MOST) {
-            self.of.remove(&fingerprint);
+        let mut ranks: Vec<_> =
+            self.entries.iter().map(|(f, s)| (s.retention_rank(), *f)).collect();
+        ranks.sort_unstable_by_key(|retention_rank| Reverse(*retention_rank));
+        for (_, fingerprint) in ranks.split_off(MAX_ENTRIES) {
+            self.entries.remove(&fingerprint);
         }
     }
 
     /// Whether updates still have to be gossiped.
     pub fn has_news(&self) -> bool {
-        self.of.values().any(|suspect| suspect.to_tell > 0)
+        self.entries.values().any(|suspect| suspect.heartbeats_left > 0)
     }
 
     /// Updates to gossip with the next heartbeat.
     pub fn news(&mut self, now: Timestamp) -> Vec<Account> {
-        let news = self.of.iter().filter(|(_, suspect)| suspect.to_tell > 0);
-        let mut news: Vec<_> = news.map(|(f, s)| ((s.to_tell, s.weight()), *f)).collect();
-        news.sort_unstable_by_key(|((_, weight), f)| Reverse((*weight, *f)));
-        news.truncate(NEWS_IN_HEARTBEAT);
+        let news = self.entries.iter().filter(|(_, suspect)| suspect.heartbeats_left > 0);
+        let mut news: Vec<_> =
+            news.map(|(f, s)| ((s.heartbeats_left, s.retention_rank()), *f)).collect();
+        news.sort_unstable_by_key(|((_, retention_rank), f)| Reverse((*retention_rank, *f)));
+        news.truncate(MAX_PER_HEARTBEAT);
         let mut accounts = Vec::with_capacity(news.len());
         for (_, fingerprint) in news {
-            if let Some(suspect) = self.of.get_mut(&fingerprint) {
-                suspect.to_tell -= 1;
+            if let Some(suspect) = self.entries.get_mut(&fingerprint) {
+                suspect.heartbeats_left -= 1;
                 accounts.push(account(fingerprint, suspect, now));
             }
         }
@@ -384,7 +397,7 @@
     /// crashes are gossiped only once, as updates: when a rack fails there are many, and almost all
     /// of them are irrelevant.
     fn compared(&self) -> impl Iterator<Item = (&Fingerprint, &Suspect)> {
-        self.of.iter().filter(|(_, suspect)| suspect.crashes.len() >= ALONE_CRASHES)
+        self.entries.iter().filter(|(_, suspect)| suspect.crashes.len() >= ISOLATION_CRASHES)
     }
 
     /// Digest of the compared entries; equal if two gateways know the same.
@@ -400,8 +413,8 @@
     /// Entries sent to a gateway whose digest differs.
     pub fn accounts(&self, now: Timestamp) -> Vec<Account> {
         let mut known: Vec<_> = self.compared().collect();
-        known.sort_unstable_by_key(|(_, suspect)| Reverse(suspect.weight()));
-        known.truncate(MOST_TOLD);
+        known.sort_unstable_by_key(|(_, suspect)| Reverse(suspect.retention_rank()));
+        known.truncate(MAX_IN_REPLY);
         known.into_iter().map(|(f, suspect)| account(*f, suspect, now)).collect()
     }
 }
--- a/src/direct/repeats.rs
+++ b/src/direct/repeats.rs
@@ -12,7 +12,7 @@
 use crate::message::Timestamp;
 
 /// Share of the budget that is used; the rest covers windows that start at other times.
-const USED: f64 = 0.6;
+const USED_SHARE: f64 = 0.6;
 /// Number of steps into which a window is divided for counting.
 const STEPS: u32 = 10;
 
@@ -66,7 +66,7 @@
         let firsts: u32 = steps.iter().map(|s| s.firsts).sum();
         let repeats: u32 = steps.iter().map(|s| s.repeats).sum();
         let slack = bounds.slack / processes.max(1) as f64;
-        let allowed = USED * (bounds.ratio * f64::from(firsts) + slack);
+        let allowed = USED_SHARE * (bounds.ratio * f64::from(firsts) + slack);
         if f64::from(repeats) + 1.0 > allowed {
             return false;
         }
--- a/src/direct/statement.rs
+++ b/src/direct/statement.rs
@@ -15,7 +15,7 @@
 
 /// Maximum rate in requests per 1,000 s; no endpoint needs more, and calculations stay within
 /// bounds.
-const MOST: u64 = 1_000_000_000;
+const MAX_PER_1000_S: u64 = 1_000_000_000;
 
 /// Requests that an endpoint accepts from all gateways together, in thousandths of a request per
 /// second.
@@ -28,7 +28,7 @@
 
     /// Rate in requests per second, rounded down to thousandths; negative values become zero.
     pub fn per_second(requests: f64) -> Self {
-        Self((requests * 1_000.0).clamp(0.0, MOST as f64) as u64)
+        Self((requests * 1_000.0).clamp(0.0, MAX_PER_1000_S as f64) as u64)
     }
 
     /// Rate in requests per second.
