--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -10,7 +10,7 @@
 use stackmast::direct::answers::AnswerProof;
 use stackmast::direct::core::{GatewayCore, Setup};
 use stackmast::direct::event::{Action, Event, IncomingRequest};
-use stackmast::direct::limits::known::LimitTold;
+use stackmast::direct::limits::known::AnnouncedLimit;
 use stackmast::direct::peers::codec::{FORM, Outgoing};
 use stackmast::direct::peers::members::{Member, MemberState};
 use stackmast::direct::peers::message::PeerMessage;
@@ -21,7 +21,7 @@
     CallerLimits, Deployment, Endpoint, EngineSpec, Pool, Repeat, Route, Target, Work,
 };
 use stackmast::direct::published::position::Position;
-use stackmast::direct::repeats::Bounds;
+use stackmast::direct::repeats::RepeatBudget;
 use stackmast::direct::statement::{RateLimit, RequestRate};
 
 const GATEWAYS: [u16; 3] = [30, 100, 300];
@@ -88,8 +88,8 @@
     }
 }
 
-fn limit(number: usize) -> LimitTold {
-    LimitTold {
+fn limit(number: usize) -> AnnouncedLimit {
+    AnnouncedLimit {
         endpoint: endpoint(number).id,
         incarnation: 1,
         version: 1,
@@ -97,7 +97,7 @@
     }
 }
 
-fn heartbeat(members: Vec<Member>, limits: Vec<LimitTold>) -> PeerMessage {
+fn heartbeat(members: Vec<Member>, limits: Vec<AnnouncedLimit>) -> PeerMessage {
     PeerMessage::Gossip {
         members,
         seen: Seen { version: 1, endpoints: Position::new(0, 5) },
@@ -123,7 +123,7 @@
         capacity: 190,
         data_centre: "hall-1".into(),
         seeds: Vec::new(),
-        repeats: Bounds { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) },
+        repeats: RepeatBudget { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) },
         grace: Duration::from_secs(8),
         settling: Duration::ZERO,
         seed: 7,
--- a/src/direct/backoff.rs
+++ b/src/direct/backoff.rs
@@ -57,7 +57,7 @@
 
     /// Records the backoff of a response that was read `at` this time. Returns when the pause ends,
     /// if that is later than known before.
-    pub fn asked(
+    pub fn record(
         &mut self,
         endpoint: &Endpoint,
         backoff: Backoff,
@@ -103,7 +103,7 @@
     }
 
     /// When the pause of an endpoint ends; `None` if it has none.
-    pub fn until(&self, endpoint: &Endpoint, now: Timestamp) -> Option<Timestamp> {
+    pub fn paused_until(&self, endpoint: &Endpoint, now: Timestamp) -> Option<Timestamp> {
         let pause = self.endpoints.get(&endpoint.id)?;
         (pause.incarnation == endpoint.incarnation && now < pause.until).then_some(pause.until)
     }
--- a/src/direct/cold.rs
+++ b/src/direct/cold.rs
@@ -93,18 +93,18 @@
     }
 
     /// Applies changed entries, including those that arrive before the configuration.
-    pub fn learn(&mut self, table: &Table, changed: &[Arc<Endpoint>], now: Timestamp) {
+    pub fn apply_changes(&mut self, table: &Table, changed: &[Arc<Endpoint>], now: Timestamp) {
         if table.is_configured() {
             self.started.get_or_insert(now);
         }
         for endpoint in changed {
-            self.told(endpoint, endpoint.cold, now);
+            self.reported(endpoint, endpoint.cold, now);
         }
         self.endpoints.retain(|_, cold| now < cold.until);
     }
 
     /// Records how much longer an endpoint reports to be cold.
-    pub fn told(&mut self, endpoint: &Endpoint, left: Duration, now: Timestamp) {
+    pub fn reported(&mut self, endpoint: &Endpoint, left: Duration, now: Timestamp) {
         if !left.is_zero() {
             return self.until(endpoint, false, now + left.min(MAX_COLD), now);
         }
@@ -116,13 +116,23 @@
 
     /// Assumes an unreachable endpoint to be cold: once it is reachable again, it has probably
     /// restarted.
-    pub fn unreachable(&mut self, endpoint: &Endpoint, cold_start: ColdStart, now: Timestamp) {
+    pub fn record_unreachable(
+        &mut self,
+        endpoint: &Endpoint,
+        cold_start: ColdStart,
+        now: Timestamp,
+    ) {
         self.until(endpoint, true, now + RETRY_INTERVAL + cold_start.lasts, now);
     }
 
     /// Assumes the endpoints of data centres whose evacuation ended to be cold: they may have
     /// restarted in the meantime without receiving any calls.
-    pub fn return_of(&mut self, data_centres: &BTreeSet<Name>, table: &Table, now: Timestamp) {
+    pub fn evacuation_ended(
+        &mut self,
+        data_centres: &BTreeSet<Name>,
+        table: &Table,
+        now: Timestamp,
+    ) {
         for pool in &table.deployment.pools {
             let Some(cold_start) = pool.cold else {
                 continue;
@@ -152,7 +162,7 @@
 
     /// When this gateway, one of `gateways`, may next send to an endpoint; `None` if it may send
     /// now.
-    pub fn opens(
+    pub fn available_at(
         &self,
         endpoint: &Endpoint,
         cold_start: Option<ColdStart>,
@@ -172,7 +182,7 @@
     }
 
     /// Records that a number of requests were sent to an endpoint together.
-    pub fn sent(&mut self, endpoint: &Endpoint, requests: usize, now: Timestamp) {
+    pub fn record_sent(&mut self, endpoint: &Endpoint, requests: usize, now: Timestamp) {
         if let Some(cold) = self.endpoints.get_mut(&endpoint.id) {
             cold.since = now;
             cold.periods_to_slot = requests as f64;
--- a/src/direct/core.rs
+++ b/src/direct/core.rs
@@ -15,25 +15,25 @@
 use crate::direct::backoff::Backoffs;
 use crate::direct::departures::Departures;
 use crate::direct::event::{Action, Event, IncomingRequest};
-use crate::direct::lateness::Lateness;
+use crate::direct::event_lag::EventLag;
 use crate::direct::limits::known::KnownLimits;
 use crate::direct::limits::limiter::Limiter;
-use crate::direct::limits::permits::Permits;
+use crate::direct::limits::permits::PendingPermits;
 use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::owner::owners::Owners;
 use crate::direct::peers::build::Builds;
 use crate::direct::peers::members::{HEARTBEAT, Members};
 use crate::direct::peers::message::PeerMessage;
 use crate::direct::peers::pulls::Pulls;
-use crate::direct::poison::broken::Broken;
 use crate::direct::poison::successes::Successes;
 use crate::direct::poison::suspects::Suspects;
+use crate::direct::poison::unanswered::UnansweredCalls;
 use crate::direct::published::documents::Documents;
 use crate::direct::published::evacuations::{Evacuations, Unconfirmed};
 use crate::direct::published::model::{Endpoint, Name};
 use crate::direct::published::position::Eras;
 use crate::direct::published::table::Table;
-use crate::direct::repeats::Bounds;
+use crate::direct::repeats::RepeatBudget;
 use crate::direct::requests::Requests;
 use crate::direct::requests::early::Waiting;
 use crate::direct::requests::stopping::Stopping;
@@ -60,7 +60,7 @@
     /// Addresses of gateways that it contacts first.
     pub seeds: Vec<SocketAddr>,
     /// Parameters of the repeat budget.
-    pub repeats: Bounds,
+    pub repeats: RepeatBudget,
     /// Time from the signal to stop until the process is killed.
     pub grace: Duration,
     /// Time from the first configuration until stages are started; see
@@ -91,10 +91,10 @@
     pub(super) owners: Owners,
     pub(super) pulls: Pulls,
     pub(super) deferred_requests: Waiting,
-    pub(super) event_lag: Lateness,
+    pub(super) event_lag: EventLag,
     /// Fingerprints of content under which endpoints crashed; shared with requests and owners.
     pub(super) suspects: Arc<Suspects>,
-    pub(super) broken: Broken,
+    pub(super) broken: UnansweredCalls,
     pub(super) successes: Successes,
     /// Endpoints that announced in a response that they are leaving.
     pub(super) departures: Departures,
@@ -103,7 +103,7 @@
     /// Rate limits that endpoints state; shared with requests and owners.
     pub(super) limits: Arc<KnownLimits>,
     /// Pending permit requests of this gateway.
-    pub(super) permits: Permits,
+    pub(super) permits: PendingPermits,
     /// Permits that this gateway issues.
     pub(super) limiter: Limiter,
     /// Probes that are deferred to the end of the endpoint's pause, by endpoint id.
@@ -156,14 +156,14 @@
             owners: Owners::new(setup.address, setup.repeats),
             pulls: Pulls::default(),
             deferred_requests: Waiting::default(),
-            event_lag: Lateness::default(),
+            event_lag: EventLag::default(),
             suspects: Arc::default(),
-            broken: Broken::default(),
+            broken: UnansweredCalls::default(),
             successes: Successes::default(),
             departures: Departures::default(),
             backoffs: Arc::new(Backoffs::new(setup.address)),
             limits: Arc::default(),
-            permits: Permits::default(),
+            permits: PendingPermits::default(),
             limiter: Limiter::default(),
             deferred_probes: BTreeMap::new(),
             next_suspects_request: Timestamp::ZERO,
@@ -438,11 +438,11 @@
     fn on_queue_delay(&mut self, queue_delay: Duration, now: Timestamp) {
         self.queue_delay = queue_delay;
         // The time of a suspension does not count as event lag.
-        self.event_lag.waited(queue_delay.min(now.saturating_sub(self.resumed_at)), now);
-        let event_lag = self.event_lag.now(now);
+        self.event_lag.record(queue_delay.min(now.saturating_sub(self.resumed_at)), now);
+        let event_lag = self.event_lag.estimate(now);
         self.requests.set_lateness(event_lag);
         self.owners.set_event_lag(event_lag);
-        if let Some(is_overloaded) = self.event_lag.changed(now) {
+        if let Some(is_overloaded) = self.event_lag.overload_change(now) {
             self.log(LogEvent::Overloaded { is_overloaded, late_ms: ms(event_lag) });
         }
     }
--- a/src/direct/departures.rs
+++ b/src/direct/departures.rs
@@ -67,7 +67,7 @@
 impl Departures {
     /// Records a departure announced by the endpoint or by another gateway; returns whether it is
     /// new.
-    pub fn heard(&mut self, departure: Departure, now: Timestamp) -> bool {
+    pub fn record(&mut self, departure: Departure, now: Timestamp) -> bool {
         if let Some(entry) = self.entries.get_mut(&departure) {
             entry.last_seen = now;
             return false;
@@ -85,7 +85,7 @@
     }
 
     /// Whether an incarnation is known to be leaving.
-    pub fn has(&self, departure: &Departure) -> bool {
+    pub fn contains(&self, departure: &Departure) -> bool {
         self.entries.contains_key(departure)
     }
 
@@ -105,7 +105,10 @@
     }
 
     /// Departures to gossip with the next heartbeat, without those that the list already shows.
-    pub fn news(&mut self, is_listed_as_leaving: impl Fn(&Departure) -> bool) -> Vec<Departure> {
+    pub fn take_changes(
+        &mut self,
+        is_listed_as_leaving: impl Fn(&Departure) -> bool,
+    ) -> Vec<Departure> {
         if !self.has_changes {
             return Vec::new();
         }
@@ -125,7 +128,7 @@
     }
 
     /// Departures sent to a gateway that joins: the latest ones that the list does not show.
-    pub fn all(&self, is_listed_as_leaving: impl Fn(&Departure) -> bool) -> Vec<Departure> {
+    pub fn newest(&self, is_listed_as_leaving: impl Fn(&Departure) -> bool) -> Vec<Departure> {
         let unlisted =
             self.entries.iter().filter(|(departure, _)| !is_listed_as_leaving(departure));
         let mut unlisted: Vec<_> = unlisted.map(|(d, entry)| (entry.last_seen, d)).collect();
@@ -139,7 +142,7 @@
 
     /// Removes departures not listed or announced for [`RETENTION`]; returns whether any
     /// was removed.
-    pub fn forget(&mut self, is_listed: impl Fn(&Departure) -> bool, now: Timestamp) -> bool {
+    pub fn expire(&mut self, is_listed: impl Fn(&Departure) -> bool, now: Timestamp) -> bool {
         if now < self.next_expiry {
             return false;
         }
--- a/src/direct/endpoint_status.rs
+++ b/src/direct/endpoint_status.rs
@@ -12,7 +12,7 @@
 use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::published::documents::{EntryState, Merged};
 use crate::direct::published::model::Endpoint;
-use crate::direct::statement::{Asked, Backoff, RateLimit, Statement};
+use crate::direct::statement::{Backoff, CallKind, RateLimit, Statement};
 use crate::message::Timestamp;
 
 impl GatewayCore {
@@ -21,13 +21,13 @@
     pub(super) fn on_endpoint_status(
         &mut self,
         endpoint: &Arc<Endpoint>,
-        asked: Asked,
+        asked: CallKind,
         statement: Statement,
         (sent, at): (Timestamp, Timestamp),
         now: Timestamp,
     ) {
         let departure = Departure::of(endpoint);
-        let is_known = self.departures.has(&departure);
+        let is_known = self.departures.contains(&departure);
         let paused_until = statement.backoff.and_then(|b| self.start_pause(endpoint, b, at, now));
         if statement.leaving {
             self.on_departure(departure, asked.as_str(), now);
@@ -96,7 +96,7 @@
     /// each way of calling would miss one.
     pub(super) fn on_departure(&mut self, departure: Departure, source: &str, now: Timestamp) {
         let was_full = self.departures.is_full();
-        if !self.departures.heard(departure.clone(), now) {
+        if !self.departures.record(departure.clone(), now) {
             return;
         }
         if was_full {
@@ -130,7 +130,7 @@
         at: Timestamp,
         now: Timestamp,
     ) -> Option<Timestamp> {
-        let until = Arc::make_mut(&mut self.backoffs).asked(endpoint, backoff, at)?;
+        let until = Arc::make_mut(&mut self.backoffs).record(endpoint, backoff, at)?;
         let (id, incarnation) = (endpoint.id.clone(), endpoint.incarnation);
         self.out.push(Action::BlockSends { endpoint: id, incarnation, until: Some(until) });
         self.requests.paused(endpoint, until, &self.backoffs, &self.table, now);
@@ -141,7 +141,7 @@
     /// Removes departures from the table that are no longer kept.
     fn prune_departures(&mut self) {
         let departures = &self.departures;
-        self.table.forget_departed(|departure| departures.has(departure));
+        self.table.forget_departed(|departure| departures.contains(departure));
     }
 
     /// Whether the list already marks the endpoint of a departure as leaving, or no longer has it.
@@ -162,24 +162,24 @@
             let endpoint = documents.endpoint(&departure.endpoint);
             endpoint.is_some_and(|e| e.incarnation == departure.incarnation)
         };
-        if self.departures.forget(is_listed, now) {
+        if self.departures.expire(is_listed, now) {
             self.prune_departures();
         }
         let mut departures = std::mem::take(&mut self.departures);
-        let updates = departures.news(|departure| self.is_listed_as_leaving(departure));
+        let updates = departures.take_changes(|departure| self.is_listed_as_leaving(departure));
         self.departures = departures;
         updates
     }
 
     /// Departures to send to a peer that is new.
     pub(super) fn all_departures(&self) -> Vec<Departure> {
-        self.departures.all(|departure| self.is_listed_as_leaving(departure))
+        self.departures.newest(|departure| self.is_listed_as_leaving(departure))
     }
 
     /// Probes an endpoint, or defers the probe to the end of its pause; its entry may give the
     /// answer before.
     pub(super) fn probe_unless_paused(&mut self, endpoint: Arc<Endpoint>, now: Timestamp) {
-        match self.backoffs.until(&endpoint, now) {
+        match self.backoffs.paused_until(&endpoint, now) {
             Some(until) => {
                 self.deferred_probes.insert(endpoint.id.clone(), (until, endpoint));
             }
--- a/src/direct/event.rs
+++ b/src/direct/event.rs
@@ -6,20 +6,20 @@
 use std::time::Duration;
 
 use crate::direct::answers::{AnswerProof, BatchOutcome, BatchReport, CallFailure};
-use crate::direct::limits::permits::Wanted;
+use crate::direct::limits::permits::NeededPermit;
 use crate::direct::log_events::LogEvent;
 use crate::direct::peers::build::Build;
 use crate::direct::peers::codec::Unread;
 use crate::direct::peers::message::{Handle, PeerMessage};
 use crate::direct::peers::pulls::Progress;
-use crate::direct::poison::Report;
+use crate::direct::poison::RunReport;
 use crate::direct::poison::fingerprint::Fingerprint;
 use crate::direct::published::documents::Revised;
 use crate::direct::published::evacuations::Evacuation;
 use crate::direct::published::model::{CallerLimits, Endpoint, Name};
 use crate::direct::published::position::Position;
 use crate::direct::published::store_read::StoreRead;
-use crate::direct::statement::{Asked, Statement};
+use crate::direct::statement::{CallKind, Statement};
 use crate::message::Timestamp;
 
 /// Caller's request, as far as decisions depend on it.
@@ -135,7 +135,7 @@
         /// The endpoint, with the incarnation that was called.
         endpoint: Arc<Endpoint>,
         /// Kind of message to which the endpoint responded.
-        asked: Asked,
+        asked: CallKind,
         /// Contents of the status headers.
         statement: Statement,
         /// When the message to which the endpoint responded was sent.
@@ -428,7 +428,7 @@
     /// Check whether an endpoint's port is closed.
     Probe(Arc<Endpoint>),
     /// Result of a run, for the detection of poison requests; handled within the core.
-    PoisonReport(Report),
+    PoisonReport(RunReport),
     /// Send nothing to an endpoint until a time, not even what is already queued. Without a time,
     /// send it no new work at all.
     BlockSends {
@@ -440,7 +440,7 @@
         until: Option<Timestamp>,
     },
     /// Request a permit for a message; handled within the core.
-    RequestPermit(Wanted),
+    RequestPermit(NeededPermit),
     /// Require permits for messages to an endpoint, or no longer require them.
     RequirePermits {
         /// Id of the endpoint.
--- a/src/direct/gates.rs
+++ b/src/direct/gates.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use crate::direct::published::model::{Endpoint, Name};
-use crate::direct::statement::Asked;
+use crate::direct::statement::CallKind;
 use crate::message::Timestamp;
 
 /// How long a closed gate is kept. A message is sent within this time after it was queued, or its
@@ -57,7 +57,7 @@
     }
 
     /// Sets whether messages to an incarnation need a permit.
-    pub fn limit(&self, endpoint: Name, incarnation: u64, is_limited: bool, now: Timestamp) {
+    pub fn set_limited(&self, endpoint: Name, incarnation: u64, is_limited: bool, now: Timestamp) {
         let mut gates = self.lock();
         gate(&mut gates, endpoint, incarnation, now).is_limited = is_limited;
     }
@@ -73,7 +73,7 @@
     pub fn is_open(
         &self,
         endpoint: &Endpoint,
-        asked: Asked,
+        asked: CallKind,
         permit: Option<Timestamp>,
         now: Timestamp,
     ) -> bool {
@@ -84,7 +84,7 @@
         let gate = gates.get(&(endpoint.id.clone(), endpoint.incarnation));
         gate.is_none_or(|gate| {
             let is_permitted = !gate.is_limited || permit.is_some_and(|until| now < until);
-            let is_accepted = !gate.leaving || asked == Asked::Free;
+            let is_accepted = !gate.leaving || asked == CallKind::Free;
             now >= gate.until && is_accepted && is_permitted
         })
     }
--- a/src/direct/limits/known.rs
+++ b/src/direct/limits/known.rs
@@ -39,11 +39,11 @@
 const MAX_PER_HEARTBEAT: usize = 256;
 
 /// Incarnation of an endpoint: the endpoint's id and the time of its start.
-pub type Life = (Name, u64);
+pub type EndpointIncarnation = (Name, u64);
 
 /// Limit of an endpoint, as gossiped between gateways.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitTold {
+pub struct AnnouncedLimit {
     /// Id of the endpoint.
     pub endpoint: Name,
     /// Incarnation that announced the limit.
@@ -102,7 +102,7 @@
     /// When entries are next checked for expiry.
     next_expiry: Timestamp,
     /// Incarnations whose limit ended and that were still limited at the last [`Self::take_freed`].
-    ramping: Vec<Life>,
+    ramping: Vec<EndpointIncarnation>,
 }
 
 impl KnownLimits {
@@ -115,7 +115,7 @@
         self.endpoints.iter().flat_map(lives).map(|(id, (life, known))| (id, *life, known))
     }
 
-    fn remove(&mut self, (id, incarnation): &Life) {
+    fn remove(&mut self, (id, incarnation): &EndpointIncarnation) {
         let Some(lives) = self.endpoints.get_mut(id) else {
             return;
         };
@@ -141,24 +141,24 @@
     }
 
     /// Records the limit of a response, if [`Self::is_changed_by`] returned true for it.
-    pub fn stated(&mut self, endpoint: &Endpoint, limit: RateLimit, now: Timestamp) {
+    pub fn record(&mut self, endpoint: &Endpoint, limit: RateLimit, now: Timestamp) {
         let known = self.get(&endpoint.id, endpoint.incarnation);
         let version = known.map_or(0, |known| known.version).saturating_add(1);
         self.set((endpoint.id.clone(), endpoint.incarnation), version, limit, now);
     }
 
     /// Whether a gossiped limit replaces the known one.
-    pub fn is_superseded_by(&self, told: &LimitTold) -> bool {
+    pub fn is_superseded_by(&self, told: &AnnouncedLimit) -> bool {
         let known = self.get(&told.endpoint, told.incarnation);
         known.is_none_or(|known| known.is_superseded_by(told.version, told.limit))
     }
 
     /// Records a gossiped limit, if [`Self::is_superseded_by`] returned true for it.
-    pub fn told(&mut self, told: &LimitTold, now: Timestamp) {
+    pub fn merge(&mut self, told: &AnnouncedLimit, now: Timestamp) {
         self.set((told.endpoint.clone(), told.incarnation), told.version, told.limit, now);
     }
 
-    fn set(&mut self, life: Life, version: u64, limit: RateLimit, now: Timestamp) {
+    fn set(&mut self, life: EndpointIncarnation, version: u64, limit: RateLimit, now: Timestamp) {
         let before = self.get(&life.0, life.1).map(|known| known.last_announced);
         if before.is_none() {
             self.evict_one(now);
@@ -203,35 +203,35 @@
     }
 
     /// Same as [`Self::rate`], by incarnation.
-    pub fn rate_of(&self, life: &Life, now: Timestamp) -> Option<RequestRate> {
+    pub fn rate_of(&self, life: &EndpointIncarnation, now: Timestamp) -> Option<RequestRate> {
         self.get(&life.0, life.1)?.rate(now)
     }
 
     /// The entry of an endpoint, in the form in which it is gossiped.
-    pub fn account(&self, endpoint: &Endpoint) -> Option<LimitTold> {
+    pub fn announcement(&self, endpoint: &Endpoint) -> Option<AnnouncedLimit> {
         let known = self.get(&endpoint.id, endpoint.incarnation)?;
         Some(announcement(&endpoint.id, endpoint.incarnation, known))
     }
 
     /// All known incarnations.
-    pub fn lives(&self) -> impl Iterator<Item = (&Name, u64)> {
+    pub fn incarnations(&self) -> impl Iterator<Item = (&Name, u64)> {
         self.iter().map(|(id, life, _)| (id, life))
     }
 
     /// Returns the incarnations that became unlimited since the last call.
-    pub fn take_freed(&mut self, now: Timestamp) -> Vec<Life> {
+    pub fn take_unlimited(&mut self, now: Timestamp) -> Vec<EndpointIncarnation> {
         if self.ramping.is_empty() {
             return Vec::new();
         }
         let mut ramping = std::mem::take(&mut self.ramping);
-        let is_unlimited = |life: &mut Life| self.rate_of(life, now).is_none();
+        let is_unlimited = |life: &mut EndpointIncarnation| self.rate_of(life, now).is_none();
         let unlimited = ramping.extract_if(.., is_unlimited).collect();
         self.ramping = ramping;
         unlimited
     }
 
     /// When the next incarnation becomes unlimited.
-    pub fn next_freed(&self) -> Option<Timestamp> {
+    pub fn next_unlimited(&self) -> Option<Timestamp> {
         let since = self.ramping.iter().filter_map(|life| self.get(&life.0, life.1));
         since.map(|known| known.since + UNLIMITED_AFTER).min()
     }
@@ -242,7 +242,7 @@
     }
 
     /// Changed limits to gossip with the next heartbeat.
-    pub fn news(&mut self) -> Vec<LimitTold> {
+    pub fn take_changes(&mut self) -> Vec<AnnouncedLimit> {
         let mut news = Vec::new();
         self.has_changes = false;
         for (id, lives) in &mut self.endpoints {
@@ -258,7 +258,7 @@
     }
 
     /// Limits sent to a gateway that joins: those in force, the most recently changed first.
-    pub fn all(&self, now: Timestamp) -> Vec<LimitTold> {
+    pub fn newest(&self, now: Timestamp) -> Vec<AnnouncedLimit> {
         let mut in_force: Vec<_> = self.iter().filter(|(.., k)| k.rate(now).is_some()).collect();
         in_force.sort_unstable_by_key(|(id, life, known)| (Reverse(known.since), *id, *life));
         in_force
@@ -270,7 +270,11 @@
 
     /// Removes entries that have not changed for [`RETENTION`] and whose incarnation is not listed or
     /// not limited; returns their incarnations.
-    pub fn forget(&mut self, is_listed: impl Fn(&Life) -> bool, now: Timestamp) -> Vec<Life> {
+    pub fn expire(
+        &mut self,
+        is_listed: impl Fn(&EndpointIncarnation) -> bool,
+        now: Timestamp,
+    ) -> Vec<EndpointIncarnation> {
         if now < self.next_expiry {
             return Vec::new();
         }
@@ -278,7 +282,7 @@
         let lives = self.iter().map(|(id, life, known)| ((id.clone(), life), known));
         let old = lives.filter(|(_, known)| now >= known.since + RETENTION);
         let expired = old.filter(|(life, known)| known.rate(now).is_none() || !is_listed(life));
-        let expired: Vec<Life> = expired.map(|(life, _)| life).collect();
+        let expired: Vec<EndpointIncarnation> = expired.map(|(life, _)| life).collect();
         expired.iter().for_each(|life| self.remove(life));
         expired
     }
@@ -294,8 +298,8 @@
     }
 }
 
-fn announcement(endpoint: &Name, incarnation: u64, known: &Entry) -> LimitTold {
-    LimitTold {
+fn announcement(endpoint: &Name, incarnation: u64, known: &Entry) -> AnnouncedLimit {
+    AnnouncedLimit {
         endpoint: endpoint.clone(),
         incarnation,
         version: known.version,
--- a/src/direct/limits/limiter.rs
+++ b/src/direct/limits/limiter.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::direct::limits::known::Life;
+use crate::direct::limits::known::EndpointIncarnation;
 use crate::direct::statement::RequestRate;
 use crate::message::Timestamp;
 
@@ -49,7 +49,7 @@
 
 /// Request for a permit.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask {
+pub struct PermitRequest {
     /// The gateway that receives the decision.
     pub asker: Asker,
     /// Priority; 0 is the most urgent.
@@ -60,9 +60,9 @@
 
 /// Decision on a permit request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Decided {
+pub enum PermitDecision {
     /// One message may be sent now.
-    Given(Asker),
+    Granted(Asker),
     /// No permit; the duration is the time until one would be available.
     Refused(Asker, Duration),
 }
@@ -93,12 +93,12 @@
     }
 
     /// Issues due permits and refuses queued requests that can no longer be granted in time.
-    fn serve(&mut self, pace: Pace, now: Timestamp, decisions: &mut Vec<Decided>) {
+    fn serve(&mut self, pace: Pace, now: Timestamp, decisions: &mut Vec<PermitDecision>) {
         while now >= self.available_at(pace, 0, now)
             && let Some((_, asker)) = self.queue.pop_first()
         {
             self.issue(pace, now);
-            decisions.push(Decided::Given(asker));
+            decisions.push(PermitDecision::Granted(asker));
         }
         let first = self.available_at(pace, 0, now);
         let mut available_at = first;
@@ -107,7 +107,7 @@
             if is_in_time {
                 available_at = available_at.saturating_add(pace.0);
             } else {
-                decisions.push(Decided::Refused(*asker, available_at.saturating_sub(now)));
+                decisions.push(PermitDecision::Refused(*asker, available_at.saturating_sub(now)));
             }
             is_in_time
         });
@@ -118,14 +118,20 @@
 /// Endpoints for which one gateway issues permits.
 #[derive(Debug, Default)]
 pub struct Limiter {
-    endpoints: BTreeMap<Life, Endpoint>,
+    endpoints: BTreeMap<EndpointIncarnation, Endpoint>,
     arrivals: u64,
 }
 
 impl Limiter {
     /// Handles a permit request. The first permit for an endpoint is issued only after a full
     /// interval, since the limit was learned from a response to a message that has just been sent.
-    pub fn ask(&mut self, life: &Life, pace: Pace, ask: Ask, now: Timestamp) -> Vec<Decided> {
+    pub fn request(
+        &mut self,
+        life: &EndpointIncarnation,
+        pace: Pace,
+        ask: PermitRequest,
+        now: Timestamp,
+    ) -> Vec<PermitDecision> {
         self.arrivals += 1;
         let new_entry = || Endpoint { last_issued: now, queue: BTreeMap::new(), due: None };
         let endpoint = self.endpoints.entry(life.clone()).or_insert_with(new_entry);
@@ -136,9 +142,9 @@
         let available_at = endpoint.available_at(pace, ahead, now);
         if available_at <= now {
             endpoint.issue(pace, now);
-            decisions.push(Decided::Given(ask.asker));
+            decisions.push(PermitDecision::Granted(ask.asker));
         } else if available_at > ask.latest || endpoint.queue.len() >= MAX_QUEUED {
-            decisions.push(Decided::Refused(ask.asker, available_at.saturating_sub(now)));
+            decisions.push(PermitDecision::Refused(ask.asker, available_at.saturating_sub(now)));
         } else {
             endpoint.queue.insert(rank, ask.asker);
             endpoint.serve(pace, now, &mut decisions);
@@ -149,13 +155,13 @@
     /// Issues due permits. Also processes `changed`, an endpoint whose limit changed. `pace`
     /// returns the interval of an endpoint, or `None` if this gateway issues no permits for it:
     /// then its queued requests are refused with `retry`.
-    pub fn look(
+    pub fn issue_due(
         &mut self,
-        changed: Option<&Life>,
-        pace: impl Fn(&Life) -> Option<Pace>,
+        changed: Option<&EndpointIncarnation>,
+        pace: impl Fn(&EndpointIncarnation) -> Option<Pace>,
         retry: Duration,
         now: Timestamp,
-    ) -> Vec<Decided> {
+    ) -> Vec<PermitDecision> {
         let mut decisions = Vec::new();
         self.endpoints.retain(|life, endpoint| {
             if changed != Some(life) && endpoint.due.is_none_or(|due| now < due) {
@@ -163,7 +169,7 @@
             }
             let Some(pace) = pace(life) else {
                 let queue = std::mem::take(&mut endpoint.queue).into_values();
-                decisions.extend(queue.map(|asker| Decided::Refused(asker, retry)));
+                decisions.extend(queue.map(|asker| PermitDecision::Refused(asker, retry)));
                 return false;
             };
             endpoint.serve(pace, now, &mut decisions);
@@ -172,13 +178,13 @@
         decisions
     }
 
-    /// When [`Self::look`] is due.
+    /// When [`Self::issue_due`] is due.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         self.endpoints.values().filter_map(|endpoint| endpoint.due).min()
     }
 
     /// Removes the queued requests of a gateway that was removed from the members.
-    pub fn lost(&mut self, gateway: SocketAddr) {
+    pub fn remove_gateway(&mut self, gateway: SocketAddr) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.queue.retain(|_, asker| asker.gateway != gateway);
         }
--- a/src/direct/limits/mod.rs
+++ b/src/direct/limits/mod.rs
@@ -4,7 +4,7 @@
 //! state in which all gateways could count what they send. Instead one gateway, the endpoint's
 //! limiter, chosen from the member list, issues a permit for each message (`limiter`). Without a
 //! permit no message of any kind is sent to the endpoint ([`crate::direct::gates`]). `permits`
-//! holds this gateway's pending permit requests, `turns` when it may request a permit again after a
+//! holds this gateway's pending permit requests, `retry_times` when it may request a permit again after a
 //! refusal.
 //!
 //! A limiter issues permits only for the share of the gateways that it hears from: with 10 possible
@@ -22,4 +22,4 @@
 pub mod known;
 pub mod limiter;
 pub mod permits;
-pub mod turns;
+pub mod retry_times;
--- a/src/direct/limits/permits.rs
+++ b/src/direct/limits/permits.rs
@@ -41,7 +41,7 @@
 
 /// Permit that is needed to send a message.
 #[derive(Debug, Clone)]
-pub struct Wanted {
+pub struct NeededPermit {
     /// Endpoint to which the message is sent.
     pub endpoint: Arc<Endpoint>,
     /// Kind of message.
@@ -54,32 +54,32 @@
 
 /// Permit request that was sent to a limiter.
 #[derive(Debug, Clone)]
-pub struct Asked {
+pub struct PendingPermit {
     /// The permit that is needed.
-    pub wanted: Wanted,
+    pub wanted: NeededPermit,
     /// Address of the gateway that decides.
     pub limiter: SocketAddr,
     /// When the request was sent.
-    pub at: Timestamp,
+    pub sent_at: Timestamp,
 }
 
-impl Asked {
+impl PendingPermit {
     fn given_up(&self) -> Timestamp {
-        self.at.saturating_add(self.wanted.wait).saturating_add(DECISION_TIMEOUT)
+        self.sent_at.saturating_add(self.wanted.wait).saturating_add(DECISION_TIMEOUT)
     }
 }
 
 /// Pending permit requests, by number.
 #[derive(Debug, Default)]
-pub struct Permits {
+pub struct PendingPermits {
     last_number: u64,
-    asked: BTreeMap<u64, Asked>,
+    asked: BTreeMap<u64, PendingPermit>,
     given_up: BTreeSet<(Timestamp, u64)>,
 }
 
-impl Permits {
+impl PendingPermits {
     /// Records a permit request; returns its number.
-    pub fn ask(&mut self, asked: Asked) -> u64 {
+    pub fn add(&mut self, asked: PendingPermit) -> u64 {
         self.last_number += 1;
         self.given_up.insert((asked.given_up(), self.last_number));
         self.asked.insert(self.last_number, asked);
@@ -88,14 +88,14 @@
 
     /// Removes and returns the request that a limiter decided; `None` if none with this number is
     /// pending there.
-    pub fn decided(&mut self, limiter: SocketAddr, number: u64) -> Option<Asked> {
+    pub fn take_decided(&mut self, limiter: SocketAddr, number: u64) -> Option<PendingPermit> {
         let asked = self.asked.get(&number).filter(|asked| asked.limiter == limiter)?;
         self.given_up.remove(&(asked.given_up(), number));
         self.asked.remove(&number)
     }
 
     /// Removes and returns the requests that were not decided in time.
-    pub fn take_overdue(&mut self, now: Timestamp) -> Vec<Asked> {
+    pub fn take_overdue(&mut self, now: Timestamp) -> Vec<PendingPermit> {
         let mut overdue = Vec::new();
         while let Some((_, number)) = self.given_up.first().copied().filter(|(at, _)| now >= *at) {
             self.given_up.pop_first();
@@ -105,7 +105,7 @@
     }
 
     /// Removes and returns the requests that were sent to a gateway.
-    pub fn take_of(&mut self, limiter: SocketAddr) -> Vec<Asked> {
+    pub fn take_sent_to(&mut self, limiter: SocketAddr) -> Vec<PendingPermit> {
         let sent = self.asked.extract_if(.., |_, asked| asked.limiter == limiter);
         let sent: Vec<_> = sent.collect();
         for (number, asked) in &sent {
--- a/src/direct/limits/turns.rs
+++ b/src/direct/limits/retry_times.rs
@@ -15,14 +15,14 @@
 
 /// Retry times of endpoints that recently refused a permit.
 #[derive(Debug, Clone, Default)]
-pub struct Turns {
+pub struct RetryTimes {
     endpoints: HashMap<Name, EndpointRetries>,
 }
 
-impl Turns {
+impl RetryTimes {
     /// Records that a permit was refused to a request of this priority, and when one would be
     /// available.
-    pub fn refused(&mut self, endpoint: &Endpoint, priority: u8, turn: Timestamp) {
+    pub fn record(&mut self, endpoint: &Endpoint, priority: u8, turn: Timestamp) {
         let retries = self.endpoints.entry(endpoint.id.clone()).or_default();
         if retries.incarnation != endpoint.incarnation {
             *retries =
@@ -33,7 +33,7 @@
 
     /// Earliest time for a permit of this priority, as far as is known: the latest retry time among
     /// requests of the same or a more urgent priority, which are queued before it.
-    pub fn turn(&self, endpoint: &Endpoint, priority: u8, now: Timestamp) -> Option<Timestamp> {
+    pub fn earliest(&self, endpoint: &Endpoint, priority: u8, now: Timestamp) -> Option<Timestamp> {
         let retries = self.endpoints.get(&endpoint.id)?;
         let is_same = retries.incarnation == endpoint.incarnation;
         let ahead = retries.by_priority.range(..=priority).map(|(_, turn)| *turn);
--- a/src/direct/owner/admission.rs
+++ b/src/direct/owner/admission.rs
@@ -13,7 +13,7 @@
 use crate::direct::owner::scheduler::Scheduler;
 use crate::direct::owner::timers::Timer;
 use crate::direct::peers::message::{Job, JobId, JobReason, JobStage, PeerMessage};
-use crate::direct::poison::suspects::KEPT;
+use crate::direct::poison::suspects::RETENTION;
 use crate::direct::published::homes::Homes;
 use crate::direct::published::model::{BatchSpec, Name};
 use crate::direct::published::table::Table;
@@ -35,7 +35,7 @@
             return self.resend_state(id);
         }
         if self.poison_in(&job).is_some() {
-            return self.send_given_up(id, JobReason::Failed, true, KEPT);
+            return self.send_given_up(id, JobReason::Failed, true, RETENTION);
         }
         if self.last_submit.is_none_or(|last| now >= last + TAKEOVER_PERIOD) {
             self.active_since = now;
--- a/src/direct/owner/batching.rs
+++ b/src/direct/owner/batching.rs
@@ -120,9 +120,9 @@
         for waited in waited {
             self.timings.record_wait(pool, spec, waited);
         }
-        self.repeats.first(pool, first_attempts, now);
+        self.repeats.record_first_sends(pool, first_attempts, now);
         self.producers.sent(&endpoint.id, total);
-        self.cold.sent(&endpoint, pieces.len(), now);
+        self.cold.record_sent(&endpoint, pieces.len(), now);
         let expected = spec.call + spec.piece * call_params.len() as u32;
         let wait_limit = expected.mul_f64(OVERDUE_FACTOR) + OVERDUE_MARGIN;
         let queued = self.ledger.get(pool).map_or(0, |ledger| ledger.queue.pieces());
--- a/src/direct/owner/outcomes.rs
+++ b/src/direct/owner/outcomes.rs
@@ -222,7 +222,7 @@
     /// Takes a repeat from the budget of a pool; returns whether there was one.
     pub(super) fn take_repeat(&mut self, pool: &Name, table: &Table, now: Timestamp) -> bool {
         let owners = OWNERS_PER_CELL * table.cells().names().len();
-        self.repeats.take(pool, owners, now)
+        self.repeats.try_take(pool, owners, now)
     }
 
     /// Handles the loss of an input of a stage: the stages before it run again, and so do those
--- a/src/direct/owner/owners.rs
+++ b/src/direct/owner/owners.rs
@@ -18,7 +18,7 @@
 use crate::direct::published::documents::Merged;
 use crate::direct::published::model::{Endpoint, Name};
 use crate::direct::published::table::Table;
-use crate::direct::repeats::Bounds;
+use crate::direct::repeats::RepeatBudget;
 use crate::message::Timestamp;
 
 /// Distance between the first call numbers of two cells.
@@ -27,7 +27,7 @@
 /// One scheduler for each owned cell, created on first use.
 #[derive(Debug)]
 pub struct Owners {
-    bounds: Bounds,
+    bounds: RepeatBudget,
     cells: BTreeMap<Name, Scheduler>,
     /// Usage announced by other owners, for new schedulers.
     announced: HashMap<SocketAddr, Vec<Usage>>,
@@ -46,7 +46,7 @@
 
 impl Owners {
     /// Creates an instance without schedulers.
-    pub fn new(own: SocketAddr, bounds: Bounds) -> Self {
+    pub fn new(own: SocketAddr, bounds: RepeatBudget) -> Self {
         let (cells, announced) = Default::default();
         let cold = ColdEndpoints::new(own);
         let (event_lag, suspects) = (Duration::ZERO, Arc::default());
@@ -194,10 +194,10 @@
         entered: &[Arc<Endpoint>],
         now: Timestamp,
     ) {
-        self.cold.learn(table, entered, now);
+        self.cold.apply_changes(table, entered, now);
         self.for_each(|owner| {
             owner.table_changed(table);
-            owner.cold.learn(table, entered, now);
+            owner.cold.apply_changes(table, entered, now);
             for endpoint in &merged.restarted {
                 owner.restarted(endpoint, table, now);
             }
@@ -206,9 +206,9 @@
 
     /// Handles the announcement of an endpoint, made at `at`, that it stays cold for `left`.
     pub fn cold_announced(&mut self, endpoint: &Endpoint, left: Duration, at: Timestamp) {
-        self.cold.told(endpoint, left, at);
+        self.cold.reported(endpoint, left, at);
         self.for_each(|owner| {
-            owner.cold.told(endpoint, left, at);
+            owner.cold.reported(endpoint, left, at);
             owner.producers.mark_changed(&endpoint.id);
         });
     }
@@ -263,8 +263,8 @@
         table: &Table,
         now: Timestamp,
     ) {
-        self.cold.return_of(data_centres, table, now);
-        self.for_each(|owner| owner.cold.return_of(data_centres, table, now));
+        self.cold.evacuation_ended(data_centres, table, now);
+        self.for_each(|owner| owner.cold.evacuation_ended(data_centres, table, now));
     }
 
     /// Runs timers that are due.
--- a/src/direct/owner/pauses.rs
+++ b/src/direct/owner/pauses.rs
@@ -36,7 +36,8 @@
         table.batch(pool)?;
         let members = table.members(pool).iter().filter(|e| !e.leaving);
         let own = members.filter(|e| self.calls_endpoint(e, table));
-        let until = own.map(|endpoint| self.backoffs.until(endpoint, now).unwrap_or(now)).min()?;
+        let until =
+            own.map(|endpoint| self.backoffs.paused_until(endpoint, now).unwrap_or(now)).min()?;
         Some(until.saturating_sub(now)).filter(|pause| !pause.is_zero())
     }
 
@@ -62,7 +63,7 @@
     pub(super) fn may_ask_report(&self, called: &Endpoint, table: &Table, now: Timestamp) -> bool {
         let is_leaving = table.endpoint(&called.id).is_none_or(|endpoint| endpoint.leaving);
         let is_limited = self.limits.rate(called, now).is_some();
-        !is_leaving && !is_limited && self.backoffs.until(called, now).is_none()
+        !is_leaving && !is_limited && self.backoffs.paused_until(called, now).is_none()
     }
 
     /// Sends endpoints the handles of results that they may free; paused endpoints are left out,
@@ -74,7 +75,7 @@
         self.free_with_permits(now);
         let (backoffs, limits) = (&self.backoffs, &self.limits);
         let may_free = |endpoint: &Endpoint| {
-            backoffs.until(endpoint, now).is_none() && limits.rate(endpoint, now).is_none()
+            backoffs.paused_until(endpoint, now).is_none() && limits.rate(endpoint, now).is_none()
         };
         let freed = self.to_free.extract_if(.., |_, (endpoint, _)| may_free(endpoint));
         let freed = freed.map(|(_, (endpoint, handles))| {
--- a/src/direct/owner/permits.rs
+++ b/src/direct/owner/permits.rs
@@ -10,8 +10,8 @@
 
 use crate::direct::event::Action;
 use crate::direct::limits::known::KnownLimits;
-use crate::direct::limits::permits::{Purpose, Wanted};
-use crate::direct::limits::turns::Turns;
+use crate::direct::limits::permits::{NeededPermit, Purpose};
+use crate::direct::limits::retry_times::RetryTimes;
 use crate::direct::owner::jobs::Piece;
 use crate::direct::owner::scheduler::Scheduler;
 use crate::direct::peers::message::{Job, JobId, JobReason};
@@ -43,7 +43,7 @@
     granted: HashMap<Name, Timestamp>,
     /// Time when a permit to free results was last asked for, by endpoint.
     last_free: HashMap<Name, Timestamp>,
-    turns: Turns,
+    turns: RetryTimes,
 }
 
 impl Permits {
@@ -71,7 +71,7 @@
     /// time.
     pub(super) fn set_limits(&mut self, limits: &Arc<KnownLimits>, table: &Table, now: Timestamp) {
         self.limits = limits.clone();
-        for (id, _) in limits.lives() {
+        for (id, _) in limits.incarnations() {
             self.producers.mark_changed(id);
         }
         let pools: Vec<Name> =
@@ -99,7 +99,7 @@
             return;
         }
         let limits = self.limits.clone();
-        for (id, incarnation) in limits.lives() {
+        for (id, incarnation) in limits.incarnations() {
             let endpoint = table.endpoint(id).filter(|e| e.incarnation == incarnation);
             let Some(endpoint) = endpoint.filter(|e| self.needs_permit(e, table, now)) else {
                 continue;
@@ -119,15 +119,15 @@
             && !endpoint.leaving
             && !self.is_permitted(endpoint, now)
             && !self.permits.is_pending(id, Purpose::Pieces)
-            && self.permits.turns.turn(endpoint, CALL_PRIORITY, now).is_none()
-            && self.backoffs.until(endpoint, now).is_none()
+            && self.permits.turns.earliest(endpoint, CALL_PRIORITY, now).is_none()
+            && self.backoffs.paused_until(endpoint, now).is_none()
             && self.calls_endpoint(endpoint, table)
             && table.batch_pools_of(id).any(has_work)
     }
 
     fn ask_permit(&mut self, endpoint: Arc<Endpoint>, purpose: Purpose, priority: u8) {
         self.permits.pending.push((endpoint.id.clone(), purpose));
-        self.out.push(Action::RequestPermit(Wanted {
+        self.out.push(Action::RequestPermit(NeededPermit {
             endpoint,
             purpose,
             priority,
@@ -167,7 +167,7 @@
         turn: Timestamp,
     ) {
         if self.permits.remove_pending(&endpoint.id, purpose) {
-            self.permits.turns.refused(endpoint, priority, turn);
+            self.permits.turns.record(endpoint, priority, turn);
         }
     }
 
@@ -195,7 +195,7 @@
         let last = self.permits.last_free.get(&endpoint.id);
         last.is_none_or(|last| now >= last.saturating_add(interval))
             && !self.permits.is_pending(&endpoint.id, Purpose::Free)
-            && self.permits.turns.turn(endpoint, FREE_PRIORITY, now).is_none()
+            && self.permits.turns.earliest(endpoint, FREE_PRIORITY, now).is_none()
     }
 
     /// Time until the last of `more` pieces of a pool has a turn, if all its endpoints have rate
--- a/src/direct/owner/poison.rs
+++ b/src/direct/owner/poison.rs
@@ -16,7 +16,7 @@
 use crate::direct::peers::message::{Job, JobId, JobReason};
 use crate::direct::poison::fingerprint::Fingerprint;
 use crate::direct::poison::suspects::{Quarantined, Suspects};
-use crate::direct::poison::{Report, Run, Unanswered};
+use crate::direct::poison::{Run, RunReport, Unanswered};
 use crate::direct::published::table::Table;
 
 impl Scheduler {
@@ -45,7 +45,7 @@
     pub(super) fn is_isolated(&self, id: JobId, stage: usize) -> bool {
         let fingerprint = || Some(self.jobs.get(&id)?.job.fingerprint.of_stage(stage));
         !self.suspects.is_empty()
-            && fingerprint().is_some_and(|of_stage| self.suspects.goes_alone(of_stage))
+            && fingerprint().is_some_and(|of_stage| self.suspects.is_isolated(of_stage))
     }
 
     /// Stages that have pieces in a call, each listed once.
@@ -64,7 +64,7 @@
 
     /// Reports that a call was not answered.
     pub(super) fn report_unanswered(&mut self, call: &Call, how: Unanswered) {
-        self.out.push(Action::PoisonReport(Report::Unanswered {
+        self.out.push(Action::PoisonReport(RunReport::Unanswered {
             endpoint: call.endpoint.clone(),
             runs: call.stages.iter().map(|stage| stage.run).collect(),
             how,
@@ -77,8 +77,8 @@
         let made = made.filter(|(_, outcome)| matches!(outcome, PieceOutcome::Made(_)));
         let made: BTreeSet<(JobId, usize)> = made.map(|(((j, s, _), _), _)| (*j, *s)).collect();
         let succeeded = call.stages.iter().filter(|run| made.contains(&(run.job, run.stage)));
-        let reports =
-            succeeded.map(|stage| Action::PoisonReport(Report::Succeeded(stage.run.fingerprint)));
+        let reports = succeeded
+            .map(|stage| Action::PoisonReport(RunReport::Succeeded(stage.run.fingerprint)));
         self.out.extend(reports);
     }
 }
--- a/src/direct/owner/scheduler.rs
+++ b/src/direct/owner/scheduler.rs
@@ -31,7 +31,7 @@
 use crate::direct::poison::suspects::Suspects;
 use crate::direct::published::model::{BatchSpec, Endpoint, Name};
 use crate::direct::published::table::Table;
-use crate::direct::repeats::{Bounds, Repeats};
+use crate::direct::repeats::{RepeatBudget, RepeatLimiter};
 use crate::direct::requests::READ_FIRST;
 use crate::message::Timestamp;
 use crate::policy::path::FETCHING;
@@ -56,7 +56,7 @@
     /// Rate limits announced by endpoints.
     pub(super) limits: Arc<KnownLimits>,
     pub(super) permits: Permits,
-    pub(super) repeats: Repeats,
+    pub(super) repeats: RepeatLimiter,
     /// Fingerprints under which endpoints crashed.
     pub(super) suspects: Arc<Suspects>,
     pub(super) next_call: u64,
@@ -90,7 +90,7 @@
 
 impl Scheduler {
     /// Creates a scheduler for all endpoints.
-    pub fn new(bounds: Bounds) -> Self {
+    pub fn new(bounds: RepeatBudget) -> Self {
         Self {
             cell: None,
             jobs: BTreeMap::new(),
@@ -100,7 +100,7 @@
             backoffs: Arc::new(Backoffs::new(JobId::LOWEST.gateway)),
             limits: Arc::default(),
             permits: Permits::default(),
-            repeats: Repeats::new(bounds),
+            repeats: RepeatLimiter::new(bounds),
             suspects: Arc::default(),
             next_call: 0,
             timings: Timings::default(),
@@ -124,7 +124,7 @@
     }
 
     /// Creates a scheduler for the endpoints of a cell; its calls are numbered after `first_call`.
-    pub fn of_cell(cell: Name, bounds: Bounds, first_call: u64, cold: ColdEndpoints) -> Self {
+    pub fn of_cell(cell: Name, bounds: RepeatBudget, first_call: u64, cold: ColdEndpoints) -> Self {
         Self { cell: Some(cell), next_call: first_call, cold, ..Self::new(bounds) }
     }
 
@@ -209,7 +209,7 @@
         self.reports_asked_at = Some(now);
         let pools = table.deployment.pools.iter().filter(|p| table.batch(&p.name).is_some());
         let endpoints = pools.flat_map(|p| table.members(&p.name)).filter(|e| !e.leaving);
-        let endpoints = endpoints.filter(|e| self.backoffs.until(e, now).is_none());
+        let endpoints = endpoints.filter(|e| self.backoffs.paused_until(e, now).is_none());
         let endpoints = endpoints.filter(|e| self.limits.rate(e, now).is_none());
         let endpoints: Vec<_> = endpoints.filter(|e| self.calls_endpoint(e, table)).collect();
         self.out.extend(endpoints.into_iter().map(|e| Action::RequestReport(e.clone())));
@@ -381,7 +381,7 @@
         if endpoint.leaving || !self.calls_endpoint(endpoint, table) {
             return;
         }
-        if self.backoffs.until(endpoint, now).is_some() {
+        if self.backoffs.paused_until(endpoint, now).is_some() {
             self.time_dependent.insert(id.clone());
             return self.ledger.pool(pool).endpoints.remove(id);
         }
@@ -390,7 +390,8 @@
             self.time_dependent.insert(id.clone());
         }
         let cold_start = table.pool(pool).and_then(|pool| pool.cold);
-        let accepts_calls = self.cold.opens(endpoint, cold_start, OWNERS_PER_CELL, now).is_none();
+        let accepts_calls =
+            self.cold.available_at(endpoint, cold_start, OWNERS_PER_CELL, now).is_none();
         let mut state = self.state_of(id, spec, now);
         state.is_free &= accepts_calls && self.is_permitted(endpoint, now);
         self.ledger.pool(pool).endpoints.set(endpoint.clone(), state);
--- a/src/direct/peer_messages.rs
+++ b/src/direct/peer_messages.rs
@@ -6,7 +6,7 @@
 use crate::direct::core::GatewayCore;
 use crate::direct::departures::Departure;
 use crate::direct::event::Action;
-use crate::direct::limits::known::LimitTold;
+use crate::direct::limits::known::AnnouncedLimit;
 use crate::direct::limits::limiter::Asker;
 use crate::direct::log_events::LogEvent;
 use crate::direct::peers::build::{Build, Greeted};
@@ -72,7 +72,7 @@
                 }
                 if is_new_peer {
                     self.request_suspects_soon(now);
-                    let message = self.gossip(self.all_departures(), self.limits.all(now), now);
+                    let message = self.gossip(self.all_departures(), self.limits.newest(now), now);
                     self.send(from, message);
                 }
                 self.pulls.told(from, seen, complete, self.pull_state(), now);
@@ -202,7 +202,7 @@
     fn gossip(
         &self,
         departures: Vec<Departure>,
-        limits: Vec<LimitTold>,
+        limits: Vec<AnnouncedLimit>,
         now: Timestamp,
     ) -> PeerMessage {
         PeerMessage::Gossip {
@@ -210,7 +210,7 @@
             seen: self.documents.seen(),
             complete: self.documents.is_complete(),
             usage: self.owners.usage(),
-            late: self.event_lag.now(now),
+            late: self.event_lag.estimate(now),
             evacuations: self.evacuations.clone(),
             departures,
             limits,
--- a/src/direct/peers/message.rs
+++ b/src/direct/peers/message.rs
@@ -7,11 +7,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::direct::departures::Departure;
-use crate::direct::limits::known::LimitTold;
+use crate::direct::limits::known::AnnouncedLimit;
 use crate::direct::owner::producers::Usage;
 use crate::direct::peers::members::Member;
 use crate::direct::poison::fingerprint::Fingerprint;
-use crate::direct::poison::suspects::Account;
+use crate::direct::poison::suspects::AnnouncedSuspect;
 use crate::direct::published::documents::{Revised, Seen};
 use crate::direct::published::evacuations::Evacuations;
 use crate::direct::published::homes::Homes;
@@ -147,7 +147,7 @@
         departures: Vec<Departure>,
         /// Limits reported by endpoints that the receiver may not know.
         #[serde(default)]
-        limits: Vec<LimitTold>,
+        limits: Vec<AnnouncedLimit>,
         /// Newest era of the store that the sender knows; 0 from builds without eras.
         #[serde(default)]
         era: u64,
@@ -223,7 +223,7 @@
     /// The results of a job are no longer needed, or the job is cancelled.
     Release(JobId),
     /// Crash records by fingerprint: the requests under which endpoints crashed.
-    Suspects(Vec<Account>),
+    Suspects(Vec<AnnouncedSuspect>),
     /// Requests [`Self::Suspects`] if the receiver's records don't have this digest.
     AskSuspects(u64),
     /// Requests a permit to send one message to an endpoint with a rate limit.
@@ -231,7 +231,7 @@
         /// Number that the sender assigned to the request.
         number: u64,
         /// The endpoint, and its limit as far as the sender knows it.
-        limit: LimitTold,
+        limit: AnnouncedLimit,
         /// Priority; 0 is the most urgent.
         priority: u8,
         /// Maximum time to wait for a permit.
--- a/src/direct/poison/fingerprint.rs
+++ b/src/direct/poison/fingerprint.rs
@@ -33,7 +33,7 @@
     }
 
     /// Fingerprint of the same content for an organisation, or for callers without an API key.
-    pub fn asked_by(self, organisation: Option<&str>) -> Self {
+    pub fn for_organisation(self, organisation: Option<&str>) -> Self {
         let Some(organisation) = organisation else {
             return self;
         };
--- a/src/direct/poison/mod.rs
+++ b/src/direct/poison/mod.rs
@@ -6,7 +6,7 @@
 //! crashed 14 endpoints within 10 s.
 //!
 //! Such a request is recognised by its content, the [`fingerprint`]. An unanswered call is kept in
-//! [`broken`] until it is proven that its endpoint crashed. Then everything that was running there
+//! [`unanswered`] until it is proven that its endpoint crashed. Then everything that was running there
 //! becomes suspect, and [`suspects`] keeps it until it is quarantined or has run without a crash
 //! elsewhere. What has recently run without a crash does not become suspect ([`successes`]).
 //! Gateways share this knowledge by gossip.
@@ -16,10 +16,10 @@
 //! of the members there are two); counting failed calls instead of crashed endpoints (a reset
 //! connection would quarantine whatever it carried).
 
-pub mod broken;
 pub mod fingerprint;
 pub mod successes;
 pub mod suspects;
+pub mod unanswered;
 
 use std::sync::Arc;
 
@@ -51,7 +51,7 @@
 
 /// Result of a run, as reported by requests and owners.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Report {
+pub enum RunReport {
     /// A call ended without a response while `runs` were running at the endpoint.
     Unanswered {
         /// Endpoint that was called.
--- a/src/direct/poison/successes.rs
+++ b/src/direct/poison/successes.rs
@@ -28,7 +28,7 @@
 
 impl Successes {
     /// Records a completed run.
-    pub fn ran(&mut self, fingerprint: Fingerprint, now: Timestamp) {
+    pub fn record(&mut self, fingerprint: Fingerprint, now: Timestamp) {
         let previous = self.completed_at.get(&fingerprint);
         if previous.is_some_and(|at| now < *at + RECORD_INTERVAL) {
             return;
@@ -50,7 +50,7 @@
     }
 
     /// Whether a fingerprint recently ran without a crash.
-    pub fn has(&self, fingerprint: Fingerprint, now: Timestamp) -> bool {
+    pub fn contains(&self, fingerprint: Fingerprint, now: Timestamp) -> bool {
         self.completed_at.get(&fingerprint).is_some_and(|at| now < *at + VALIDITY)
     }
 }
--- a/src/direct/poison/suspects.rs
+++ b/src/direct/poison/suspects.rs
@@ -35,7 +35,7 @@
 const MAX_CRASHES: usize = 6;
 /// How long an entry is kept after its request was last received; refused callers get this as their
 /// retry time. Callers that respect it are then run again, so that a repaired endpoint serves them.
-pub const KEPT: Duration = Duration::from_secs(600);
+pub const RETENTION: Duration = Duration::from_secs(600);
 /// Minimum difference in time for which a repeated request is gossiped: otherwise each refusal
 /// would be an update for all gateways.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(150);
@@ -72,7 +72,7 @@
 
 /// Entry for one fingerprint, as gossiped between gateways.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Account {
+pub struct AnnouncedSuspect {
     /// Fingerprint of the request or stage.
     pub fingerprint: Fingerprint,
     /// How often it was cleared; crashes before the last time no longer count.
@@ -174,7 +174,7 @@
     }
 
     /// Whether endpoints crashed under a fingerprint since it was last cleared.
-    pub fn knows(&self, fingerprint: Fingerprint) -> bool {
+    pub fn is_suspect(&self, fingerprint: Fingerprint) -> bool {
         self.entries.get(&fingerprint).is_some_and(|s| !s.crashes.is_empty())
     }
 
@@ -184,12 +184,12 @@
     }
 
     /// Whether a fingerprint has to be isolated in a call of its own.
-    pub fn goes_alone(&self, fingerprint: Fingerprint) -> bool {
+    pub fn is_isolated(&self, fingerprint: Fingerprint) -> bool {
         self.entries.get(&fingerprint).is_some_and(|s| s.crashes.len() >= ISOLATION_CRASHES)
     }
 
     /// Number of quarantined fingerprints.
-    pub fn poison(&self) -> usize {
+    pub fn quarantined_count(&self) -> usize {
         self.quarantined.len()
     }
 
@@ -205,7 +205,7 @@
 
     /// Records that an endpoint crashed while `runs` were running there; returns what is newly
     /// quarantined.
-    pub fn crashed(
+    pub fn record_crash(
         &mut self,
         endpoint: &Name,
         incarnation: u64,
@@ -223,7 +223,7 @@
     }
 
     /// Whether a gossiped entry contains anything new; most have been received before.
-    pub fn is_news(&self, account: &Account, now: Timestamp) -> bool {
+    pub fn is_new(&self, account: &AnnouncedSuspect, now: Timestamp) -> bool {
         let came = now.saturating_sub(Duration::from_secs(u64::from(account.age_s)));
         let Some(known) = self.entries.get(&account.fingerprint) else {
             return true;
@@ -241,14 +241,14 @@
     }
 
     /// Merges entries from another gateway; returns what is newly quarantined.
-    pub fn told(&mut self, accounts: &[Account], now: Timestamp) -> Vec<Quarantined> {
+    pub fn merge(&mut self, accounts: &[AnnouncedSuspect], now: Timestamp) -> Vec<Quarantined> {
         for account in accounts {
             let age = Duration::from_secs(u64::from(account.age_s));
-            if age >= KEPT {
+            if age >= RETENTION {
                 continue;
             }
             let came = now.saturating_sub(age);
-            let Account { fingerprint, cleared, crashes, .. } = account;
+            let AnnouncedSuspect { fingerprint, cleared, crashes, .. } = account;
             self.merge_entry(*fingerprint, *cleared, crashes, came);
         }
         self.evict();
@@ -341,7 +341,7 @@
 
     /// Records that a quarantined request was received again, which extends the time for which it
     /// is kept.
-    pub fn came(&mut self, fingerprint: Fingerprint, now: Timestamp) {
+    pub fn record_repeat(&mut self, fingerprint: Fingerprint, now: Timestamp) {
         if let Some(suspect) = self.entries.get_mut(&fingerprint) {
             suspect.came = now;
             suspect.heartbeats_left = HEARTBEATS_PER_CHANGE;
@@ -349,13 +349,13 @@
     }
 
     /// Whether an entry has expired.
-    pub fn is_outdated(&self, now: Timestamp) -> bool {
-        self.entries.values().any(|suspect| now >= suspect.came + KEPT)
+    pub fn has_expired(&self, now: Timestamp) -> bool {
+        self.entries.values().any(|suspect| now >= suspect.came + RETENTION)
     }
 
     /// Removes expired entries.
-    pub fn forget(&mut self, now: Timestamp) {
-        self.entries.retain(|_, suspect| now < suspect.came + KEPT);
+    pub fn expire(&mut self, now: Timestamp) {
+        self.entries.retain(|_, suspect| now < suspect.came + RETENTION);
         self.update_quarantine();
     }
 
@@ -372,12 +372,12 @@
     }
 
     /// Whether updates still have to be gossiped.
-    pub fn has_news(&self) -> bool {
+    pub fn has_changes(&self) -> bool {
         self.entries.values().any(|suspect| suspect.heartbeats_left > 0)
     }
 
     /// Updates to gossip with the next heartbeat.
-    pub fn news(&mut self, now: Timestamp) -> Vec<Account> {
+    pub fn take_changes(&mut self, now: Timestamp) -> Vec<AnnouncedSuspect> {
         let news = self.entries.iter().filter(|(_, suspect)| suspect.heartbeats_left > 0);
         let mut news: Vec<_> =
             news.map(|(f, s)| ((s.heartbeats_left, s.retention_rank()), *f)).collect();
@@ -411,7 +411,7 @@
     }
 
     /// Entries sent to a gateway whose digest differs.
-    pub fn accounts(&self, now: Timestamp) -> Vec<Account> {
+    pub fn announcements(&self, now: Timestamp) -> Vec<AnnouncedSuspect> {
         let mut known: Vec<_> = self.compared().collect();
         known.sort_unstable_by_key(|(_, suspect)| Reverse(suspect.retention_rank()));
         known.truncate(MAX_IN_REPLY);
@@ -419,9 +419,9 @@
     }
 }
 
-fn account(fingerprint: Fingerprint, suspect: &Suspect, now: Timestamp) -> Account {
+fn account(fingerprint: Fingerprint, suspect: &Suspect, now: Timestamp) -> AnnouncedSuspect {
     let age_s = now.saturating_sub(suspect.came).as_secs();
-    Account {
+    AnnouncedSuspect {
         fingerprint,
         cleared: suspect.cleared,
         age_s: u32::try_from(age_s).unwrap_or(u32::MAX),
--- a/src/direct/poison/broken.rs
+++ b/src/direct/poison/unanswered.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::direct::poison::suspects::Account;
+use crate::direct::poison::suspects::AnnouncedSuspect;
 use crate::direct::poison::{Run, Unanswered};
 use crate::direct::published::model::{Endpoint, Name};
 use crate::direct::published::table::Table;
@@ -59,7 +59,7 @@
 
 /// Endpoint that crashed, with what this gateway had running there.
 #[derive(Debug)]
-pub struct Crashed {
+pub struct CrashedEndpoint {
     /// The endpoint, in the incarnation that crashed.
     pub endpoint: Arc<Endpoint>,
     /// What was running there.
@@ -73,7 +73,7 @@
 #[derive(Debug)]
 pub enum Verdict {
     /// The endpoint crashed.
-    Crashed(Crashed),
+    Crashed(CrashedEndpoint),
     /// Probe the endpoint.
     Probe(Arc<Endpoint>),
     /// Nothing: proof is awaited, or there is nothing to prove.
@@ -93,13 +93,13 @@
 
 /// Unanswered calls of one gateway, by the incarnation that was called.
 #[derive(Debug, Default)]
-pub struct Broken {
+pub struct UnansweredCalls {
     calls: BTreeMap<(Name, u64), Calls>,
 }
 
-impl Broken {
+impl UnansweredCalls {
     /// Records that a call was not answered while `runs` were running at the endpoint.
-    pub fn unanswered(
+    pub fn record(
         &mut self,
         endpoint: &Arc<Endpoint>,
         runs: &[Run],
@@ -126,7 +126,7 @@
         }
         if let Some(proof) = calls.proof {
             let (endpoint, runs) = (endpoint.clone(), runs.to_vec());
-            return Verdict::Crashed(Crashed { endpoint, runs, proof });
+            return Verdict::Crashed(CrashedEndpoint { endpoint, runs, proof });
         }
         let valid_for = if how == Unanswered::GivenUp { CANCELLED_VALIDITY } else { PROOF_TIMEOUT };
         calls.runs.retain(|(_, until)| now < *until);
@@ -171,7 +171,11 @@
 
     /// Applies crashes reported by other gateways; returns those of endpoints with unanswered calls
     /// from here.
-    pub fn told(&mut self, accounts: &[Account], now: Timestamp) -> Vec<Crashed> {
+    pub fn crashes_reported(
+        &mut self,
+        accounts: &[AnnouncedSuspect],
+        now: Timestamp,
+    ) -> Vec<CrashedEndpoint> {
         if self.calls.is_empty() {
             return Vec::new();
         }
@@ -180,23 +184,28 @@
         incarnations.filter_map(|incarnation| self.prove(&incarnation, "told", now)).collect()
     }
 
-    fn prove(&mut self, key: &(Name, u64), proof: &'static str, now: Timestamp) -> Option<Crashed> {
+    fn prove(
+        &mut self,
+        key: &(Name, u64),
+        proof: &'static str,
+        now: Timestamp,
+    ) -> Option<CrashedEndpoint> {
         let calls = self.calls.get_mut(key)?;
         calls.proof.get_or_insert(proof);
         let runs = std::mem::take(&mut calls.runs).into_iter();
         let runs: Vec<Run> = runs.filter(|(_, until)| now < *until).map(|(run, _)| run).collect();
         let endpoint = calls.endpoint.clone();
-        (!runs.is_empty()).then_some(Crashed { endpoint, runs, proof })
+        (!runs.is_empty()).then_some(CrashedEndpoint { endpoint, runs, proof })
     }
 
     /// Checks endpoints whose entries changed; returns those that have crashed.
-    pub fn changed(
+    pub fn entries_changed(
         &mut self,
         ids: &[Name],
         table: &Table,
         is_gone: impl Fn(&str) -> bool,
         now: Timestamp,
-    ) -> Vec<Crashed> {
+    ) -> Vec<CrashedEndpoint> {
         if self.calls.is_empty() {
             return Vec::new();
         }
@@ -222,7 +231,7 @@
     }
 
     /// Removes calls for which no proof was found in time.
-    pub fn forget(&mut self, now: Timestamp) {
+    pub fn expire(&mut self, now: Timestamp) {
         self.calls.retain(|_, calls| now < calls.until);
     }
 }
--- a/src/direct/poison_detection.rs
+++ b/src/direct/poison_detection.rs
@@ -12,10 +12,10 @@
 use crate::direct::log_events::LogEvent;
 use crate::direct::peers::members::HEARTBEAT;
 use crate::direct::peers::message::PeerMessage;
-use crate::direct::poison::Report;
-use crate::direct::poison::broken::{Crashed, Verdict};
+use crate::direct::poison::RunReport;
 use crate::direct::poison::fingerprint::Fingerprint;
-use crate::direct::poison::suspects::{Account, Quarantined};
+use crate::direct::poison::suspects::{AnnouncedSuspect, Quarantined};
+use crate::direct::poison::unanswered::{CrashedEndpoint, Verdict};
 use crate::direct::published::documents::EntryState;
 use crate::direct::published::model::Name;
 use crate::message::Timestamp;
@@ -27,19 +27,19 @@
 
 impl GatewayCore {
     /// Handles the result of a run that requests or owners report.
-    pub(super) fn on_poison_report(&mut self, report: Report, now: Timestamp) {
+    pub(super) fn on_poison_report(&mut self, report: RunReport, now: Timestamp) {
         match report {
-            Report::Unanswered { endpoint, runs, how } => {
-                let verdict = self.broken.unanswered(&endpoint, &runs, how, &self.table, now);
+            RunReport::Unanswered { endpoint, runs, how } => {
+                let verdict = self.broken.record(&endpoint, &runs, how, &self.table, now);
                 self.apply_verdict(verdict, now);
             }
-            Report::Succeeded(fingerprint) => {
-                self.successes.ran(fingerprint, now);
+            RunReport::Succeeded(fingerprint) => {
+                self.successes.record(fingerprint, now);
                 self.clear(fingerprint, now);
             }
-            Report::Refused(fingerprint) => {
+            RunReport::Refused(fingerprint) => {
                 if self.suspects.is_refreshed_by(fingerprint, now) {
-                    Arc::make_mut(&mut self.suspects).came(fingerprint, now);
+                    Arc::make_mut(&mut self.suspects).record_repeat(fingerprint, now);
                 }
             }
         }
@@ -47,7 +47,7 @@
 
     /// Clears a fingerprint that ran without a crash: it was not the cause of one.
     fn clear(&mut self, fingerprint: Fingerprint, now: Timestamp) {
-        if !self.suspects.knows(fingerprint) {
+        if !self.suspects.is_suspect(fingerprint) {
             return;
         }
         let quarantined = Arc::make_mut(&mut self.suspects).clear(fingerprint, now);
@@ -79,19 +79,24 @@
     pub(super) fn check_entries_for_crashes(&mut self, ids: &[Name], now: Timestamp) {
         let documents = &self.documents;
         let is_gone = |id: &str| documents.state(id) == EntryState::Gone;
-        let crashed = self.broken.changed(ids, &self.table, is_gone, now);
+        let crashed = self.broken.entries_changed(ids, &self.table, is_gone, now);
         self.endpoints_crashed(crashed, now);
     }
 
-    fn endpoints_crashed(&mut self, crashed: Vec<Crashed>, now: Timestamp) {
+    fn endpoints_crashed(&mut self, crashed: Vec<CrashedEndpoint>, now: Timestamp) {
         if crashed.is_empty() {
             return;
         }
         let mut quarantined = Vec::new();
-        for Crashed { endpoint, mut runs, proof } in crashed {
-            runs.retain(|run| !self.successes.has(run.fingerprint, now));
+        for CrashedEndpoint { endpoint, mut runs, proof } in crashed {
+            runs.retain(|run| !self.successes.contains(run.fingerprint, now));
             let suspects = Arc::make_mut(&mut self.suspects);
-            quarantined.extend(suspects.crashed(&endpoint.id, endpoint.incarnation, &runs, now));
+            quarantined.extend(suspects.record_crash(
+                &endpoint.id,
+                endpoint.incarnation,
+                &runs,
+                now,
+            ));
             let rounds = runs.iter().map(|run| (run.fingerprint.to_string(), run.round));
             self.log(LogEvent::EndpointCrashed {
                 endpoint: endpoint.id.clone(),
@@ -108,16 +113,17 @@
     pub(super) fn suspects_received(
         &mut self,
         from: SocketAddr,
-        accounts: &[Account],
+        accounts: &[AnnouncedSuspect],
         now: Timestamp,
     ) {
-        let crashed = self.broken.told(accounts, now);
-        let updates = accounts.iter().filter(|account| self.suspects.is_news(account, now));
-        let updates: Vec<Account> = updates.cloned().collect();
+        let crashed = self.broken.crashes_reported(accounts, now);
+        let updates = accounts.iter().filter(|account| self.suspects.is_new(account, now));
+        let updates: Vec<AnnouncedSuspect> = updates.cloned().collect();
         if !updates.is_empty() {
-            let mut quarantined = Arc::make_mut(&mut self.suspects).told(&updates, now);
+            let mut quarantined = Arc::make_mut(&mut self.suspects).merge(&updates, now);
             let fingerprints = updates.iter().map(|account| account.fingerprint);
-            let succeeded: Vec<_> = fingerprints.filter(|f| self.successes.has(*f, now)).collect();
+            let succeeded: Vec<_> =
+                fingerprints.filter(|f| self.successes.contains(*f, now)).collect();
             quarantined.retain(|c| !succeeded.contains(&c.fingerprint));
             self.share_suspects(quarantined, &from.to_string(), now);
             succeeded.into_iter().for_each(|fingerprint| self.clear(fingerprint, now));
@@ -128,7 +134,7 @@
     /// Responds to a peer that asks for suspects, unless its digest is the same.
     pub(super) fn suspects_requested(&mut self, from: SocketAddr, digest: u64, now: Timestamp) {
         if digest != self.suspects.digest() {
-            self.send(from, PeerMessage::Suspects(self.suspects.accounts(now)));
+            self.send(from, PeerMessage::Suspects(self.suspects.announcements(now)));
         }
     }
 
@@ -139,7 +145,7 @@
             let source = source.to_owned();
             self.log(LogEvent::Quarantined { fingerprint, endpoints, source });
         }
-        crate::metrics::poison(self.suspects.poison());
+        crate::metrics::poison(self.suspects.quarantined_count());
         self.requests.set_suspects(self.suspects.clone());
         self.requests.quarantined(&quarantined, now);
         self.owners.set_suspects(&self.suspects, &quarantined, &self.table);
@@ -148,13 +154,13 @@
     /// Sends suspect updates with a heartbeat to the same peers, removes expired suspects, and asks
     /// a random peer for its suspects when that is due.
     pub(super) fn exchange_suspects(&mut self, to: &[SocketAddr], now: Timestamp) {
-        self.broken.forget(now);
-        if self.suspects.is_outdated(now) {
-            Arc::make_mut(&mut self.suspects).forget(now);
+        self.broken.expire(now);
+        if self.suspects.has_expired(now) {
+            Arc::make_mut(&mut self.suspects).expire(now);
             self.share_suspects(Vec::new(), "own", now);
         }
-        if self.suspects.has_news() {
-            let updates = Arc::make_mut(&mut self.suspects).news(now);
+        if self.suspects.has_changes() {
+            let updates = Arc::make_mut(&mut self.suspects).take_changes(now);
             let message = PeerMessage::Suspects(updates);
             self.out.push(Action::Broadcast { to: to.to_vec(), message });
         }
--- a/src/direct/rate_limits.rs
+++ b/src/direct/rate_limits.rs
@@ -7,9 +7,9 @@
 
 use crate::direct::core::GatewayCore;
 use crate::direct::event::Action;
-use crate::direct::limits::known::{Life, LimitTold};
-use crate::direct::limits::limiter::{Ask, Asker, Decided, Pace};
-use crate::direct::limits::permits::{Asked, Purpose, Wanted};
+use crate::direct::limits::known::{AnnouncedLimit, EndpointIncarnation};
+use crate::direct::limits::limiter::{Asker, Pace, PermitDecision, PermitRequest};
+use crate::direct::limits::permits::{NeededPermit, PendingPermit, Purpose};
 use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::peers::members::{Member, SETTLED};
 use crate::direct::peers::message::PeerMessage;
@@ -35,9 +35,9 @@
     ) -> bool {
         let is_new = self.limits.is_changed_by(endpoint, limit, sent);
         if is_new {
-            Arc::make_mut(&mut self.limits).stated(endpoint, limit, now);
+            Arc::make_mut(&mut self.limits).record(endpoint, limit, now);
         }
-        if is_new && let Some(account) = self.limits.account(endpoint) {
+        if is_new && let Some(account) = self.limits.announcement(endpoint) {
             self.limit_changed(&account, "answer", now);
         }
         is_new
@@ -47,12 +47,12 @@
     pub(super) fn limits_received(
         &mut self,
         from: SocketAddr,
-        limits: &[LimitTold],
+        limits: &[AnnouncedLimit],
         now: Timestamp,
     ) {
         for account in limits {
             if self.limits.is_superseded_by(account) {
-                Arc::make_mut(&mut self.limits).told(account, now);
+                Arc::make_mut(&mut self.limits).merge(account, now);
                 self.limit_changed(account, &from.to_string(), now);
             }
         }
@@ -60,7 +60,7 @@
 
     /// Applies a changed limit: from now on messages to the endpoint need a permit, or will need
     /// none after a while.
-    fn limit_changed(&mut self, account: &LimitTold, source: &str, now: Timestamp) {
+    fn limit_changed(&mut self, account: &AnnouncedLimit, source: &str, now: Timestamp) {
         let life = (account.endpoint.clone(), account.incarnation);
         let is_limited = self.limits.rate_of(&life, now).is_some();
         self.set_gate(&life, is_limited);
@@ -78,7 +78,7 @@
         self.issue_permits(Some(&life), now);
     }
 
-    fn set_gate(&mut self, (endpoint, incarnation): &Life, is_limited: bool) {
+    fn set_gate(&mut self, (endpoint, incarnation): &EndpointIncarnation, is_limited: bool) {
         let (endpoint, incarnation) = (endpoint.clone(), *incarnation);
         self.out.push(Action::RequirePermits { endpoint, incarnation, is_limited });
     }
@@ -90,23 +90,23 @@
     }
 
     /// Returns the limits to send with the next heartbeat, and removes expired ones.
-    pub(super) fn limit_updates(&mut self, now: Timestamp) -> Vec<LimitTold> {
+    pub(super) fn limit_updates(&mut self, now: Timestamp) -> Vec<AnnouncedLimit> {
         if !self.limits.is_due(now) {
             return Vec::new();
         }
         let documents = &self.documents;
-        let is_listed = |(id, incarnation): &Life| {
+        let is_listed = |(id, incarnation): &EndpointIncarnation| {
             documents.endpoint(id).is_some_and(|e| e.incarnation == *incarnation)
         };
         let limits = Arc::make_mut(&mut self.limits);
-        let forgotten = limits.forget(is_listed, now);
-        let updates = limits.news();
+        let forgotten = limits.expire(is_listed, now);
+        let updates = limits.take_changes();
         self.lift_limits(&forgotten, now);
         updates
     }
 
     /// Lifts the need for permits for endpoints without a limit.
-    fn lift_limits(&mut self, lives: &[Life], now: Timestamp) {
+    fn lift_limits(&mut self, lives: &[EndpointIncarnation], now: Timestamp) {
         if lives.is_empty() {
             return;
         }
@@ -123,8 +123,8 @@
         for asked in self.permits.take_overdue(now) {
             self.permit_refused(asked, RETRY_SOON, "silent", now);
         }
-        if self.limits.next_freed().is_some_and(|at| now >= at) {
-            let freed = Arc::make_mut(&mut self.limits).take_freed(now);
+        if self.limits.next_unlimited().is_some_and(|at| now >= at) {
+            let freed = Arc::make_mut(&mut self.limits).take_unlimited(now);
             self.lift_limits(&freed, now);
         }
         if self.limiter.next_wakeup().is_some_and(|at| now >= at) {
@@ -133,12 +133,12 @@
     }
 
     /// Issues the permits that are due, also for an endpoint whose limit changed.
-    fn issue_permits(&mut self, changed: Option<&Life>, now: Timestamp) {
+    fn issue_permits(&mut self, changed: Option<&EndpointIncarnation>, now: Timestamp) {
         if self.limiter.is_empty() {
             return;
         }
         let mut limiter = std::mem::take(&mut self.limiter);
-        let decided = limiter.look(changed, |life| self.pace(life, now), RETRY_SOON, now);
+        let decided = limiter.issue_due(changed, |life| self.pace(life, now), RETRY_SOON, now);
         self.limiter = limiter;
         self.send_decisions(decided);
     }
@@ -146,22 +146,22 @@
     /// When [`Self::process_permits`] is due.
     pub(super) fn next_permit(&self) -> Option<Timestamp> {
         let wakeups = [self.permits.next_wakeup(), self.limiter.next_wakeup()];
-        wakeups.into_iter().flatten().chain(self.limits.next_freed()).min()
+        wakeups.into_iter().flatten().chain(self.limits.next_unlimited()).min()
     }
 
     /// Requests a permit for a message from the limiter of its endpoint.
-    pub(super) fn request_permit(&mut self, wanted: Wanted, now: Timestamp) {
+    pub(super) fn request_permit(&mut self, wanted: NeededPermit, now: Timestamp) {
         let builds = &self.builds;
         let issues_permits = |member: &Member| builds.gives_permits(member.address);
         let limiter = self.members.limiter(&wanted.endpoint.id, issues_permits);
         let own = self.members.own().address;
-        let account = self.limits.account(&wanted.endpoint);
+        let account = self.limits.announcement(&wanted.endpoint);
         let (priority, wait) = (wanted.priority, wanted.wait);
         let (Some((limiter, _)), Some(limit)) = (limiter, account) else {
-            let asked = Asked { wanted, limiter: own, at: now };
+            let asked = PendingPermit { wanted, limiter: own, sent_at: now };
             return self.permit_refused(asked, RETRY_SOON, "no limiter", now);
         };
-        let number = self.permits.ask(Asked { wanted, limiter, at: now });
+        let number = self.permits.add(PendingPermit { wanted, limiter, sent_at: now });
         let message = PeerMessage::AskPermit { number, limit, priority, wait };
         self.send(limiter, message);
     }
@@ -170,7 +170,7 @@
     pub(super) fn permit_requested(
         &mut self,
         asker: Asker,
-        limit: &LimitTold,
+        limit: &AnnouncedLimit,
         priority: u8,
         wait: Duration,
         now: Timestamp,
@@ -179,10 +179,10 @@
         let life = (limit.endpoint.clone(), limit.incarnation);
         let decided = match self.pace(&life, now) {
             Some(pace) => {
-                let ask = Ask { asker, priority, latest: now.saturating_add(wait) };
-                self.limiter.ask(&life, pace, ask, now)
+                let ask = PermitRequest { asker, priority, latest: now.saturating_add(wait) };
+                self.limiter.request(&life, pace, ask, now)
             }
-            None => vec![Decided::Refused(asker, RETRY_SOON)],
+            None => vec![PermitDecision::Refused(asker, RETRY_SOON)],
         };
         self.send_decisions(decided);
     }
@@ -190,7 +190,7 @@
     /// Rate at which this gateway issues permits for an endpoint; `None` if it is not the
     /// endpoint's limiter. It issues the share of the gateways from which it receives heartbeats,
     /// and none while another gateway may still be issuing.
-    fn pace(&self, life: &Life, now: Timestamp) -> Option<Pace> {
+    fn pace(&self, life: &EndpointIncarnation, now: Timestamp) -> Option<Pace> {
         let rate = self.limits.rate_of(life, now)?;
         let builds = &self.builds;
         let issues_permits = |member: &Member| builds.gives_permits(member.address);
@@ -201,11 +201,11 @@
         is_limiter.then(|| Pace::new(rate, self.members.part_heard(issues_permits, now)))
     }
 
-    fn send_decisions(&mut self, decided: Vec<Decided>) {
+    fn send_decisions(&mut self, decided: Vec<PermitDecision>) {
         for decided in decided {
             let (asker, given, retry_after) = match decided {
-                Decided::Given(asker) => (asker, true, Duration::ZERO),
-                Decided::Refused(asker, turn) => (asker, false, turn),
+                PermitDecision::Granted(asker) => (asker, true, Duration::ZERO),
+                PermitDecision::Refused(asker, turn) => (asker, false, turn),
             };
             let number = asker.number;
             self.send(asker.gateway, PeerMessage::Permit { number, given, retry_after });
@@ -222,7 +222,7 @@
         retry_after: Duration,
         now: Timestamp,
     ) {
-        let Some(asked) = self.permits.decided(from, number) else {
+        let Some(asked) = self.permits.take_decided(from, number) else {
             return;
         };
         if !given {
@@ -230,7 +230,7 @@
         }
         self.log_permit(&asked, true, None, "turn", now);
         let until = now + PERMIT_VALIDITY;
-        let Wanted { endpoint, purpose, .. } = asked.wanted;
+        let NeededPermit { endpoint, purpose, .. } = asked.wanted;
         match purpose {
             Purpose::Request { caller, number } => {
                 self.requests.permit_given(caller, number, until, &self.table, now);
@@ -243,14 +243,14 @@
 
     fn permit_refused(
         &mut self,
-        asked: Asked,
+        asked: PendingPermit,
         turn: Duration,
         cause: &'static str,
         now: Timestamp,
     ) {
         self.log_permit(&asked, false, Some(turn), cause, now);
         let at = now.saturating_add(turn);
-        let Wanted { endpoint, purpose, priority, .. } = asked.wanted;
+        let NeededPermit { endpoint, purpose, priority, .. } = asked.wanted;
         match purpose {
             Purpose::Request { caller, number } => {
                 self.requests.permit_refused(
@@ -270,13 +270,13 @@
 
     fn log_permit(
         &mut self,
-        asked: &Asked,
+        asked: &PendingPermit,
         given: bool,
         turn: Option<Duration>,
         cause: &'static str,
         now: Timestamp,
     ) {
-        let Wanted { endpoint, purpose, .. } = &asked.wanted;
+        let NeededPermit { endpoint, purpose, .. } = &asked.wanted;
         let request = match purpose {
             Purpose::Request { caller, .. } => self.requests.id_of(*caller),
             Purpose::Pieces | Purpose::Free => None,
@@ -288,7 +288,7 @@
             limiter: asked.limiter,
             given,
             cause,
-            waited_ms: ms(now.saturating_sub(asked.at)),
+            waited_ms: ms(now.saturating_sub(asked.sent_at)),
             turn_ms: turn.map(ms),
         });
     }
@@ -296,8 +296,8 @@
     /// Handles the failure of a gateway: permits requested from it are requested from another, and
     /// its own pending requests are removed.
     pub(super) fn limiter_down(&mut self, address: SocketAddr, now: Timestamp) {
-        self.limiter.lost(address);
-        for asked in self.permits.take_of(address) {
+        self.limiter.remove_gateway(address);
+        for asked in self.permits.take_sent_to(address) {
             self.permit_refused(asked, RETRY_SOON, "lost", now);
         }
     }
--- a/src/direct/repeats.rs
+++ b/src/direct/repeats.rs
@@ -18,7 +18,7 @@
 
 /// Repeat budget, as published.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Bounds {
+pub struct RepeatBudget {
     /// Allowed repeats per first send.
     pub ratio: f64,
     /// Allowed repeats in addition, for all processes together.
@@ -27,7 +27,7 @@
     pub window: Duration,
 }
 
-impl Default for Bounds {
+impl Default for RepeatBudget {
     fn default() -> Self {
         Self { ratio: 0.1, slack: 20.0, window: Duration::from_secs(10) }
     }
@@ -42,24 +42,24 @@
 
 /// Recent sends of one process, by pool.
 #[derive(Debug, Default)]
-pub struct Repeats {
-    bounds: Bounds,
+pub struct RepeatLimiter {
+    bounds: RepeatBudget,
     pools: HashMap<Name, VecDeque<Step>>,
 }
 
-impl Repeats {
+impl RepeatLimiter {
     /// Creates the counters for this budget.
-    pub fn new(bounds: Bounds) -> Self {
+    pub fn new(bounds: RepeatBudget) -> Self {
         Self { bounds, pools: HashMap::new() }
     }
 
     /// Records first sends to a pool.
-    pub fn first(&mut self, pool: &Name, count: u32, now: Timestamp) {
+    pub fn record_first_sends(&mut self, pool: &Name, count: u32, now: Timestamp) {
         self.step(pool, now).firsts += count;
     }
 
     /// Uses one repeat of the budget, shared by `processes`; returns false if none is left.
-    pub fn take(&mut self, pool: &Name, processes: usize, now: Timestamp) -> bool {
+    pub fn try_take(&mut self, pool: &Name, processes: usize, now: Timestamp) -> bool {
         let bounds = self.bounds;
         self.step(pool, now);
         let steps = &self.pools[pool];
--- a/src/direct/requests/attempts.rs
+++ b/src/direct/requests/attempts.rs
@@ -85,7 +85,7 @@
         self.last_attempt += 1;
         let number = self.last_attempt;
         if request.sends == 0 {
-            self.repeats.first(&request.pool, 1, now);
+            self.repeats.record_first_sends(&request.pool, 1, now);
         }
         request.sends += 1;
         request.round = round;
@@ -98,7 +98,7 @@
         }
         self.observations.sent(&endpoint);
         self.ramps.sent(&endpoint, now);
-        self.cold.sent(&endpoint, 1, now);
+        self.cold.record_sent(&endpoint, 1, now);
         let params = CallParams {
             endpoint,
             timeout: request.deadline.saturating_sub(now),
@@ -283,7 +283,7 @@
         // them freed, the stages run again.
         let is_permanent = proof.status == STATUS_RESULTS_GONE && !request.results_freed();
         let can_retry = !is_permanent && proof.status != 400 && sends < MAX_SENDS;
-        let will_retry = can_retry && self.repeats.take(&pool, self.gateway_count, now);
+        let will_retry = can_retry && self.repeats.try_take(&pool, self.gateway_count, now);
         let failure = format!("not run: status {}", proof.status);
         self.log_attempt_failed(
             caller,
@@ -322,7 +322,7 @@
         };
         request.uncertain_attempts += 1;
         let pool = request.pool.clone();
-        let will_retry = may_retry && self.repeats.take(&pool, self.gateway_count, now);
+        let will_retry = may_retry && self.repeats.try_take(&pool, self.gateway_count, now);
         let next = if will_retry { "again" } else { "abandoned" };
         self.log_attempt_failed(caller, &attempt, failure.as_str().to_owned(), next);
         if will_retry {
@@ -413,7 +413,7 @@
         let will_retry = may_retry
             && request.route.resumable
             && !request.has_stages()
-            && self.repeats.take(&pool, self.gateway_count, now);
+            && self.repeats.try_take(&pool, self.gateway_count, now);
         let next = if will_retry { "resumed" } else { "aborted" };
         self.log_attempt_failed(caller, &closed, "stream failed".to_owned(), next);
         if will_retry {
--- a/src/direct/requests/changes.rs
+++ b/src/direct/requests/changes.rs
@@ -23,7 +23,7 @@
         entered: &[Arc<Endpoint>],
         now: Timestamp,
     ) {
-        self.cold.learn(table, entered, now);
+        self.cold.apply_changes(table, entered, now);
         self.observations.retain(|id| table.endpoint(id).is_some());
         self.ramps.retain(|id| table.endpoint(id).is_some());
         self.turns.retain(|id| table.endpoint(id).is_some());
@@ -37,7 +37,7 @@
     /// An evacuation order for these data centres was withdrawn, so their endpoints get requests
     /// again.
     pub fn return_of(&mut self, data_centres: &BTreeSet<Name>, table: &Table, now: Timestamp) {
-        self.cold.return_of(data_centres, table, now);
+        self.cold.evacuation_ended(data_centres, table, now);
     }
 
     /// An endpoint reported at `at` for how long it stays cold. Returns whether it counted as cold
@@ -50,7 +50,7 @@
         now: Timestamp,
     ) -> bool {
         let was_cold = self.cold.is_cold(&endpoint.id, now);
-        self.cold.told(endpoint, left, at);
+        self.cold.reported(endpoint, left, at);
         was_cold
     }
 
@@ -79,7 +79,7 @@
     fn all_paused_until(&self, pool: &str, table: &Table, now: Timestamp) -> Option<Timestamp> {
         let accepting = table.members(pool).iter().filter(|endpoint| !endpoint.leaving);
         let ends: Option<Vec<Timestamp>> =
-            accepting.map(|endpoint| self.backoffs.until(endpoint, now)).collect();
+            accepting.map(|endpoint| self.backoffs.paused_until(endpoint, now)).collect();
         ends?.into_iter().min()
     }
 
@@ -123,7 +123,7 @@
         let pool = self.requests.get(&caller).and_then(|request| table.pool(&request.pool));
         let cold_start: Option<ColdStart> = pool.and_then(|pool| pool.cold);
         if let Some(cold_start) = cold_start {
-            self.cold.unreachable(endpoint, cold_start, now);
+            self.cold.record_unreachable(endpoint, cold_start, now);
         }
     }
 }
--- a/src/direct/requests/choice.rs
+++ b/src/direct/requests/choice.rs
@@ -129,7 +129,7 @@
         let wait = request.max_permit_wait(now);
         let limited = endpoints.filter(|e| self.limits.rate(e, now).is_some());
         let limited = limited.filter(|e| self.unavailability_for_all(e, cold_start, now).is_none());
-        let turns = limited.map(|e| (self.turns.turn(e, request.priority, now), &e.id, e));
+        let turns = limited.map(|e| (self.turns.earliest(e, request.priority, now), &e.id, e));
         let in_time = turns.filter(|(turn, ..)| turn.is_none_or(|turn| turn <= now + wait));
         let (_, _, first) = in_time.min_by_key(|(turn, id, _)| (*turn, *id))?;
         Some(Choice { endpoint: first.clone(), reason: "turn", candidates: 1, wait })
@@ -160,7 +160,8 @@
         now: Timestamp,
     ) -> Option<Unavailable> {
         let is_limited = self.limits.rate(endpoint, now).is_some();
-        let turn = is_limited.then(|| self.turns.turn(endpoint, request.priority, now)).flatten();
+        let turn =
+            is_limited.then(|| self.turns.earliest(endpoint, request.priority, now)).flatten();
         let turn = turn.map(|until| Unavailable { until, cause: UnavailableCause::Limited });
         self.unavailability_for_all(endpoint, cold_start, now).into_iter().chain(turn).max()
     }
@@ -173,9 +174,9 @@
         cold_start: Option<ColdStart>,
         now: Timestamp,
     ) -> Option<Unavailable> {
-        let cold = self.cold.opens(endpoint, cold_start, self.gateway_count, now);
+        let cold = self.cold.available_at(endpoint, cold_start, self.gateway_count, now);
         let cold = cold.map(|until| Unavailable { until, cause: UnavailableCause::Cold });
-        let paused = self.backoffs.until(endpoint, now);
+        let paused = self.backoffs.paused_until(endpoint, now);
         let filled = || self.ramps.is_full(endpoint).then(|| now + RETRY_SOON);
         let paused = paused.or_else(filled);
         let paused = paused.map(|until| Unavailable { until, cause: UnavailableCause::Paused });
--- a/src/direct/requests/mod.rs
+++ b/src/direct/requests/mod.rs
@@ -38,7 +38,7 @@
 use crate::direct::cold::ColdEndpoints;
 use crate::direct::event::{Action, IncomingRequest, Refusal, Refused};
 use crate::direct::limits::known::KnownLimits;
-use crate::direct::limits::turns::Turns;
+use crate::direct::limits::retry_times::RetryTimes;
 use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::peers::members::Members;
 use crate::direct::peers::message::{JobId, PeerMessage};
@@ -46,7 +46,7 @@
 use crate::direct::published::homes::Homes;
 use crate::direct::published::model::{Name, Organisation, Route};
 use crate::direct::published::table::Table;
-use crate::direct::repeats::{Bounds, Repeats};
+use crate::direct::repeats::{RepeatBudget, RepeatLimiter};
 use crate::direct::requests::endpoints::Observations;
 use crate::direct::requests::experience::Experience;
 use crate::direct::requests::fetches::Fetches;
@@ -95,7 +95,7 @@
     /// Rate limits that endpoints announced.
     pub(super) limits: Arc<KnownLimits>,
     /// Earliest time to ask again for a permit, by endpoint and priority, after a refusal.
-    turns: Turns,
+    turns: RetryTimes,
     /// Number of the last permit that was asked for.
     last_permit: u64,
     ramps: Ramps,
@@ -106,7 +106,7 @@
     pub(super) stages_checked_at: Timestamp,
     /// When a stopping process last recorded the durations of running requests.
     pub(super) running_sampled_at: Timestamp,
-    pub(super) repeats: Repeats,
+    pub(super) repeats: RepeatLimiter,
     pub(super) gateway_count: usize,
     owners: OwnerRanking,
     /// Cells that recently refused a job for lack of time or capacity, with the end of that state.
@@ -129,7 +129,7 @@
 
 impl Requests {
     /// Creates an empty set of requests.
-    pub fn new(own: SocketAddr, incarnation: u64, data_centre: Name, bounds: Bounds) -> Self {
+    pub fn new(own: SocketAddr, incarnation: u64, data_centre: Name, bounds: RepeatBudget) -> Self {
         Self {
             own,
             incarnation,
@@ -141,7 +141,7 @@
             cold: ColdEndpoints::new(own),
             backoffs: Arc::new(Backoffs::new(own)),
             limits: Arc::default(),
-            turns: Turns::default(),
+            turns: RetryTimes::default(),
             last_permit: 0,
             ramps: Ramps::default(),
             durations: Experience::default(),
@@ -149,7 +149,7 @@
             stopping: None,
             stages_checked_at: Timestamp::ZERO,
             running_sampled_at: Timestamp::ZERO,
-            repeats: Repeats::new(bounds),
+            repeats: RepeatLimiter::new(bounds),
             gateway_count: 1,
             owners: OwnerRanking::default(),
             refusing_cells: HashMap::new(),
@@ -277,7 +277,7 @@
         let homes = organisation.map_or(&[][..], |o| &o.homes);
         Request {
             pool: select_pool(route, &incoming.id),
-            fingerprint: incoming.content.asked_by(organisation.map(|o| &*o.name)),
+            fingerprint: incoming.content.for_organisation(organisation.map(|o| &*o.name)),
             organisation: organisation.map(|o| o.name.clone()),
             allowed_regions: Homes::of(&route.homes, homes),
             priority,
--- a/src/direct/requests/overload.rs
+++ b/src/direct/requests/overload.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::direct::event::Refused;
-use crate::direct::lateness::SHORT;
+use crate::direct::event_lag::OVERLOAD_LAG;
 use crate::direct::requests::Requests;
 use crate::direct::requests::experience::{Part, Sure};
 use crate::direct::requests::request::Request;
@@ -42,7 +42,7 @@
 
     /// Another gateway reported its event lag.
     pub fn told_lateness(&mut self, gateway: SocketAddr, event_lag: Duration, now: Timestamp) {
-        if event_lag < SHORT {
+        if event_lag < OVERLOAD_LAG {
             self.peer_lags.remove(&gateway);
         } else {
             self.peer_lags.insert(gateway, (event_lag, now));
@@ -64,7 +64,7 @@
         request: &Request,
         now: Timestamp,
     ) -> Option<Duration> {
-        if self.event_lag < SHORT {
+        if self.event_lag < OVERLOAD_LAG {
             return None;
         }
         let stages = if request.has_stages() { EVENTS_FOR_STAGES } else { 0 };
--- a/src/direct/requests/permits.rs
+++ b/src/direct/requests/permits.rs
@@ -5,7 +5,7 @@
 
 use crate::direct::event::{Action, Refused};
 use crate::direct::limits::known::KnownLimits;
-use crate::direct::limits::permits::{Purpose, Wanted};
+use crate::direct::limits::permits::{NeededPermit, Purpose};
 use crate::direct::published::model::{Endpoint, Name};
 use crate::direct::published::table::Table;
 use crate::direct::requests::choice::Choice;
@@ -65,7 +65,7 @@
         request.permit =
             Some(AwaitedPermit { number, reason, candidates, endpoint: endpoint.clone() });
         let purpose = Purpose::Request { caller, number };
-        self.out.push(Action::RequestPermit(Wanted { endpoint, purpose, priority, wait }));
+        self.out.push(Action::RequestPermit(NeededPermit { endpoint, purpose, priority, wait }));
     }
 
     fn take_awaited(&mut self, caller: u64, number: u64) -> Option<AwaitedPermit> {
@@ -121,7 +121,7 @@
         table: &Table,
         now: Timestamp,
     ) {
-        self.turns.refused(endpoint, priority, turn);
+        self.turns.record(endpoint, priority, turn);
         if self.take_awaited(caller, number).is_some() {
             self.dispatch(caller, table, now);
         }
--- a/src/direct/requests/poison.rs
+++ b/src/direct/requests/poison.rs
@@ -4,8 +4,8 @@
 
 use crate::direct::event::{Action, Refused};
 use crate::direct::poison::fingerprint::Fingerprint;
-use crate::direct::poison::suspects::{KEPT, Quarantined, Suspects};
-use crate::direct::poison::{Report, Run, Unanswered};
+use crate::direct::poison::suspects::{Quarantined, RETENTION, Suspects};
+use crate::direct::poison::{Run, RunReport, Unanswered};
 use crate::direct::requests::Requests;
 use crate::direct::requests::request::{Attempt, Phase, Request};
 use crate::message::Timestamp;
@@ -29,8 +29,8 @@
         request: &Request,
         part: Fingerprint,
     ) {
-        self.out.push(Action::PoisonReport(Report::Refused(part)));
-        self.refuse_new(caller, &request.incoming.id, Refused::Poison, KEPT);
+        self.out.push(Action::PoisonReport(RunReport::Refused(part)));
+        self.refuse_new(caller, &request.incoming.id, Refused::Poison, RETENTION);
     }
 
     /// Refuses a request if it is quarantined by now; returns whether it is.
@@ -39,8 +39,8 @@
         let Some(part) = part else {
             return false;
         };
-        self.out.push(Action::PoisonReport(Report::Refused(part)));
-        self.refuse(caller, Refused::Poison, KEPT, now);
+        self.out.push(Action::PoisonReport(RunReport::Refused(part)));
+        self.refuse(caller, Refused::Poison, RETENTION, now);
         true
     }
 
@@ -71,7 +71,7 @@
     /// this, and 4 with it.
     pub(super) fn isolation_key(&self, request: &Request) -> Option<String> {
         let is_isolated =
-            request.uncertain_attempts > 0 || self.suspects.knows(request.fingerprint);
+            request.uncertain_attempts > 0 || self.suspects.is_suspect(request.fingerprint);
         is_isolated.then(|| request.fingerprint.to_string())
     }
 
@@ -82,7 +82,7 @@
         };
         let Request { fingerprint, round, .. } = *request;
         let run = Run { fingerprint, round, alone: true };
-        self.out.push(Action::PoisonReport(Report::Unanswered {
+        self.out.push(Action::PoisonReport(RunReport::Unanswered {
             endpoint: attempt.endpoint.clone(),
             runs: vec![run],
             how,
@@ -100,7 +100,7 @@
     /// A request was answered.
     pub(super) fn report_success(&mut self, caller: u64) {
         if let Some(request) = self.requests.get(&caller) {
-            self.out.push(Action::PoisonReport(Report::Succeeded(request.fingerprint)));
+            self.out.push(Action::PoisonReport(RunReport::Succeeded(request.fingerprint)));
         }
     }
 }
--- a/src/direct/shell.rs
+++ b/src/direct/shell.rs
@@ -26,7 +26,7 @@
 use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::peers::links::Peers;
 use crate::direct::published::model::{CallerLimits, Endpoint};
-use crate::direct::statement::{Asked, Statement};
+use crate::direct::statement::{CallKind, Statement};
 use crate::direct::stream::EventSplitter;
 use crate::logging::Lines;
 use crate::message::Timestamp;
@@ -189,7 +189,7 @@
 struct EndpointExchange {
     core: Handle<GatewayCore>,
     endpoint: Arc<Endpoint>,
-    asked: Asked,
+    asked: CallKind,
     gates: Gates,
     /// When the permit expires, for an endpoint with a rate limit.
     permit: Option<Timestamp>,
@@ -265,7 +265,7 @@
     fn exchange(
         &self,
         endpoint: &Arc<Endpoint>,
-        asked: Asked,
+        asked: CallKind,
         permit: Option<Timestamp>,
     ) -> EndpointExchange {
         let (core, endpoint, gates) = (self.core.clone(), endpoint.clone(), self.gates.clone());
@@ -281,7 +281,7 @@
         let (core, client, callers) =
             (self.core.clone(), self.client.clone(), self.callers.clone());
         let timeout = params.timeout;
-        let mut exchange = self.exchange(&params.endpoint, Asked::Request, params.permit);
+        let mut exchange = self.exchange(&params.endpoint, CallKind::Request, params.permit);
         exchange.report_as_sent = (!params.inputs.is_empty()).then_some((caller, attempt));
         let task = tokio::spawn(async move {
             let called =
@@ -365,7 +365,7 @@
         permit: Option<Timestamp>,
     ) {
         let (core, client) = (self.core.clone(), self.client.clone());
-        let exchange = self.exchange(&endpoint, Asked::Pieces, permit);
+        let exchange = self.exchange(&endpoint, CallKind::Pieces, permit);
         tokio::spawn(async move {
             let called = client.batch(endpoint, pieces, exchange);
             let called = tokio::time::timeout(timeout, called).await;
@@ -376,7 +376,7 @@
 
     fn request_report(&self, endpoint: Arc<Endpoint>) {
         let (core, client) = (self.core.clone(), self.client.clone());
-        let exchange = self.exchange(&endpoint, Asked::Report, None);
+        let exchange = self.exchange(&endpoint, CallKind::Report, None);
         tokio::spawn(async move {
             let (id, requested_at) = (endpoint.id.clone(), core.now());
             let event = match client.report(endpoint, exchange).await {
@@ -454,14 +454,14 @@
             }
             Action::FreeResults { endpoint, handles, permit } => {
                 let client = self.client.clone();
-                let exchange = self.exchange(&endpoint, Asked::Free, permit);
+                let exchange = self.exchange(&endpoint, CallKind::Free, permit);
                 tokio::spawn(async move { client.free(endpoint, handles, exchange).await });
             }
             Action::BlockSends { endpoint, incarnation, until } => {
                 self.gates.close(endpoint, incarnation, until, self.core.now());
             }
             Action::RequirePermits { endpoint, incarnation, is_limited } => {
-                self.gates.limit(endpoint, incarnation, is_limited, self.core.now());
+                self.gates.set_limited(endpoint, incarnation, is_limited, self.core.now());
             }
             Action::RequestReport(endpoint) => self.request_report(endpoint),
             Action::Probe(endpoint) => self.probe(endpoint),
--- a/src/direct/statement.rs
+++ b/src/direct/statement.rs
@@ -63,18 +63,18 @@
 impl Statement {
     /// Whether the response states nothing about its endpoint.
     pub fn is_empty(&self) -> bool {
-        self.names_no_limit() && Self { limit: None, ..*self } == Self::default()
+        self.has_no_limit() && Self { limit: None, ..*self } == Self::default()
     }
 
     /// Whether the response states no rate limit.
-    pub const fn names_no_limit(&self) -> bool {
+    pub const fn has_no_limit(&self) -> bool {
         matches!(self.limit, None | Some(RateLimit::None))
     }
 }
 
 /// Kind of call to which an endpoint responded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Asked {
+pub enum CallKind {
     /// Runs a caller's request.
     Request,
     /// Runs the pieces of a batch.
@@ -85,7 +85,7 @@
     Free,
 }
 
-impl Asked {
+impl CallKind {
     /// Word for this kind in log events.
     pub const fn as_str(self) -> &'static str {
         match self {
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -6,7 +6,7 @@
 
 use crate::direct::log_events::LogEvent;
 use crate::direct::peers::build::Build;
-use crate::direct::statement::Asked;
+use crate::direct::statement::CallKind;
 use crate::message::Ran;
 use crate::refusal::Refusal;
 
@@ -212,7 +212,7 @@
 }
 
 /// A message was not sent, since its endpoint wants nothing.
-pub fn withheld(asked: Asked) {
+pub fn withheld(asked: CallKind) {
     counter!(WITHHELD, "asked" => asked.as_str()).increment(1);
 }
 
--- a/testbed/src/frames.rs
+++ b/testbed/src/frames.rs
@@ -13,13 +13,13 @@
 use snafu::{ResultExt, Snafu};
 use stackmast::config::Selector;
 use stackmast::direct::departures::Departure;
-use stackmast::direct::limits::known::LimitTold;
+use stackmast::direct::limits::known::AnnouncedLimit;
 use stackmast::direct::owner::producers::Usage;
 use stackmast::direct::peers::codec::{FORM, Outgoing};
 use stackmast::direct::peers::members::{Member, MemberState};
 use stackmast::direct::peers::message::{Job, JobId, JobReason, JobStage, Made, PeerMessage};
 use stackmast::direct::poison::fingerprint::Fingerprint;
-use stackmast::direct::poison::suspects::{Account, Crash};
+use stackmast::direct::poison::suspects::{AnnouncedSuspect, Crash};
 use stackmast::direct::published::documents::{Document, Revised, Seen};
 use stackmast::direct::published::evacuations::{Evacuation, Evacuations};
 use stackmast::direct::published::homes::Homes;
@@ -215,8 +215,8 @@
     }
 }
 
-fn limit() -> LimitTold {
-    LimitTold {
+fn limit() -> AnnouncedLimit {
+    AnnouncedLimit {
         endpoint: name("endpoint-2"),
         incarnation: 1_790_000_000_002,
         version: 3,
@@ -258,7 +258,12 @@
         alone: true,
     };
     let fingerprint = Fingerprint::of_content("POST", "/a/b", b"body");
-    PeerMessage::Suspects(vec![Account { fingerprint, cleared: 1, age_s: 9, crashes: vec![crash] }])
+    PeerMessage::Suspects(vec![AnnouncedSuspect {
+        fingerprint,
+        cleared: 1,
+        age_s: 9,
+        crashes: vec![crash],
+    }])
 }
 
 fn messages() -> Vec<PeerMessage> {
--- a/testbed/src/owner_load.rs
+++ b/testbed/src/owner_load.rs
@@ -21,7 +21,7 @@
     BatchSpec, CallerLimits, Deployment, Endpoint, Name, Pool, Work,
 };
 use stackmast::direct::published::table::Table;
-use stackmast::direct::repeats::Bounds;
+use stackmast::direct::repeats::RepeatBudget;
 
 /// Stages: pool, pieces, pieces of a call, time of a piece in ms, bytes of a result, room in bytes, share of
 /// the endpoints in percent.
@@ -155,7 +155,7 @@
             limits: CallerLimits::default(),
         };
         let table = Table::new(Arc::new(deployment), endpoints(shape.endpoints).iter());
-        let bounds = Bounds { ratio: 0.2, slack: 500.0, window: Duration::from_secs(10) };
+        let bounds = RepeatBudget { ratio: 0.2, slack: 500.0, window: Duration::from_secs(10) };
         let mut load = Self {
             shape,
             table,
--- a/tests/direct_backoff.rs
+++ b/tests/direct_backoff.rs
@@ -15,7 +15,7 @@
 use stackmast::direct::backoff::Backoffs;
 use stackmast::direct::event::{Action, Event, Refused};
 use stackmast::direct::log_events::LogEvent;
-use stackmast::direct::statement::{Asked, Backoff};
+use stackmast::direct::statement::{Backoff, CallKind};
 use test_case::test_case;
 
 #[test]
@@ -66,8 +66,8 @@
 fn any_time_that_is_asked_for_has_an_end(backoff: Backoff, from_ms: u64, to_ms: u64) {
     for gateway in 1..50 {
         let mut known = Backoffs::new(address(gateway));
-        known.asked(&engine(1), backoff, ms(5));
-        let until = known.until(&engine(1), ms(5)).unwrap_or(ms(5)) - ms(5);
+        known.record(&engine(1), backoff, ms(5));
+        let until = known.paused_until(&engine(1), ms(5)).unwrap_or(ms(5)) - ms(5);
         assert!(until >= ms(from_ms) && until <= ms(to_ms), "{until:?}");
     }
 }
@@ -76,7 +76,7 @@
 fn a_pause_counts_from_when_its_answer_was_read() {
     let mut core = configured(routes());
     let statement = pause_for(ms(2 * SECONDS));
-    let (endpoint, asked) = (engine(1), Asked::Request);
+    let (endpoint, asked) = (engine(1), CallKind::Request);
     // The core was late by a second.
     let event = Event::EndpointStatus { endpoint, asked, statement, sent: ms(90), at: ms(100) };
     core.handle(event, ms(1_100));
@@ -232,7 +232,7 @@
 fn gateways_differ_in_what_they_add_to_a_pause() {
     let ends = |port| {
         let mut known = Backoffs::new(address(port));
-        known.asked(&engine(1), Backoff::For(ms(4 * SECONDS)), ms(0))
+        known.record(&engine(1), Backoff::For(ms(4 * SECONDS)), ms(0))
     };
     let all: std::collections::BTreeSet<_> = (1..=100).filter_map(ends).collect();
     assert!(all.len() > 90, "gateways come back apart");
--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -18,7 +18,7 @@
 use stackmast::direct::published::documents::{Document, Revised};
 use stackmast::direct::published::model::{Endpoint, Name, Pool, Repeat};
 use stackmast::direct::published::table::Table;
-use stackmast::direct::repeats::Bounds;
+use stackmast::direct::repeats::RepeatBudget;
 use test_case::test_case;
 
 const POOLS: [&str; 3] = ["first", "second", "third"];
@@ -127,8 +127,8 @@
     assert!(moved <= 8, "{moved} moves for six losses");
 }
 
-fn bounds() -> Bounds {
-    Bounds { ratio: 0.2, slack: 50.0, window: std::time::Duration::from_secs(10) }
+fn bounds() -> RepeatBudget {
+    RepeatBudget { ratio: 0.2, slack: 50.0, window: std::time::Duration::from_secs(10) }
 }
 
 fn job_of(number: u64, cell: &str) -> Job {
--- a/tests/direct_cold.rs
+++ b/tests/direct_cold.rs
@@ -39,12 +39,12 @@
     let mut sent = Vec::new();
     for gateway in 1..=gateways {
         let mut known = ColdEndpoints::new(address(gateway));
-        known.learn(&table, &[], ms(0));
+        known.apply_changes(&table, &[], ms(0));
         let learns = 5_000 + u64::from(gateway) * spread_ms / u64::from(gateways);
-        known.learn(&table, std::slice::from_ref(&endpoint), ms(learns));
+        known.apply_changes(&table, std::slice::from_ref(&endpoint), ms(learns));
         for at in learns..8_000 {
-            if known.opens(&endpoint, Some(BEARS), usize::from(gateways), ms(at)).is_none() {
-                known.sent(&endpoint, 1, ms(at));
+            if known.available_at(&endpoint, Some(BEARS), usize::from(gateways), ms(at)).is_none() {
+                known.record_sent(&endpoint, 1, ms(at));
                 sent.push(ms(at));
             }
         }
@@ -79,9 +79,9 @@
     let mut sent = 0;
     for gateway in 1..=gateways {
         let mut known = ColdEndpoints::new(address(gateway));
-        known.learn(&table, &[], ms(0));
-        known.learn(&table, std::slice::from_ref(&endpoint), ms(5_000));
-        let opens = known.opens(&endpoint, Some(BEARS), usize::from(gateways), ms(7_500));
+        known.apply_changes(&table, &[], ms(0));
+        known.apply_changes(&table, std::slice::from_ref(&endpoint), ms(5_000));
+        let opens = known.available_at(&endpoint, Some(BEARS), usize::from(gateways), ms(7_500));
         sent += usize::from(opens.is_none());
     }
     assert!(sent <= 8, "{sent} of {gateways} at once after two and a half seconds");
@@ -92,10 +92,13 @@
     let (table, endpoint) = (table(), cold(1, 3_000));
     let mut known = ColdEndpoints::new(address(1));
     // The entry may come before the configuration.
-    known.learn(&Table::default(), std::slice::from_ref(&endpoint), ms(10));
-    known.learn(&table, &[], ms(20));
-    assert!(known.opens(&endpoint, Some(BEARS), 1, ms(1_500)).is_some());
-    assert!(known.opens(&endpoint, Some(BEARS), 1, ms(1_800)).is_none(), "once it has gathered");
+    known.apply_changes(&Table::default(), std::slice::from_ref(&endpoint), ms(10));
+    known.apply_changes(&table, &[], ms(20));
+    assert!(known.available_at(&endpoint, Some(BEARS), 1, ms(1_500)).is_some());
+    assert!(
+        known.available_at(&endpoint, Some(BEARS), 1, ms(1_800)).is_none(),
+        "once it has gathered"
+    );
 }
 
 /// A gateway of 21 whose engines are as given, long after its start.
--- a/tests/direct_departures.rs
+++ b/tests/direct_departures.rs
@@ -20,14 +20,14 @@
 use stackmast::direct::published::documents::{Document, Revised};
 use stackmast::direct::published::evacuations::Evacuation;
 use stackmast::direct::published::model::Endpoint;
-use stackmast::direct::statement::{Asked, Backoff};
+use stackmast::direct::statement::{Backoff, CallKind};
 use test_case::test_case;
 
-#[test_case(Asked::Request)]
-#[test_case(Asked::Pieces)]
-#[test_case(Asked::Report)]
-#[test_case(Asked::Free)]
-fn an_endpoint_that_leaves_gets_no_new_work_whatever_its_answer_was_to(asked: Asked) {
+#[test_case(CallKind::Request)]
+#[test_case(CallKind::Pieces)]
+#[test_case(CallKind::Report)]
+#[test_case(CallKind::Free)]
+fn an_endpoint_that_leaves_gets_no_new_work_whatever_its_answer_was_to(asked: CallKind) {
     let mut core = configured(routes());
     assert!(gets_any(&mut core, "engine-1", 1, 10));
     let event = Event::EndpointStatus {
@@ -191,14 +191,14 @@
     for number in 0..6_000u64 {
         let id = format!("endpoint-{number}");
         let endpoint = Endpoint { id: id.as_str().into(), ..(*engine(1)).clone() };
-        departures.heard(Departure::of(&endpoint), ms(number));
-        backoffs.asked(&endpoint, Backoff::For(ms(900 * SECONDS)), ms(number));
+        departures.record(Departure::of(&endpoint), ms(number));
+        backoffs.record(&endpoint, Backoff::For(ms(900 * SECONDS)), ms(number));
     }
     assert!(departures.len() <= 4_096 && backoffs.len() <= 4_096);
-    assert!(departures.has(&Departure { endpoint: "endpoint-5999".into(), incarnation: 0 }));
-    assert!(departures.news(|_| false).len() <= 256, "so is a heartbeat");
-    assert!(departures.all(|_| false).len() <= 256);
-    assert!(departures.forget(|_| false, ms(6_000 + 600 * SECONDS)));
+    assert!(departures.contains(&Departure { endpoint: "endpoint-5999".into(), incarnation: 0 }));
+    assert!(departures.take_changes(|_| false).len() <= 256, "so is a heartbeat");
+    assert!(departures.newest(|_| false).len() <= 256);
+    assert!(departures.expire(|_| false, ms(6_000 + 600 * SECONDS)));
     assert!(departures.is_empty(), "none is listed, nor was heard of for ten minutes");
 }
 
--- a/tests/direct_gates.rs
+++ b/tests/direct_gates.rs
@@ -21,14 +21,14 @@
 use stackmast::direct::published::documents::{Document, Revised};
 use stackmast::direct::published::model::{Endpoint, Repeat};
 use stackmast::direct::shell::{GatewayShell, Reply};
-use stackmast::direct::statement::{Asked, Backoff, Statement};
+use stackmast::direct::statement::{Backoff, CallKind, Statement};
 use stackmast::logging::Lines;
 use test_case::test_case;
 use tokio::sync::Semaphore;
 
-const ALL: [Asked; 4] = [Asked::Request, Asked::Pieces, Asked::Report, Asked::Free];
+const ALL: [CallKind; 4] = [CallKind::Request, CallKind::Pieces, CallKind::Report, CallKind::Free];
 
-fn open(gates: &Gates, endpoint: &Endpoint, at: u64) -> Vec<Asked> {
+fn open(gates: &Gates, endpoint: &Endpoint, at: u64) -> Vec<CallKind> {
     ALL.into_iter().filter(|asked| gates.is_open(endpoint, *asked, None, ms(at))).collect()
 }
 
@@ -48,7 +48,11 @@
     gates.close(leaving.id.clone(), 0, None, ms(0));
     gates.close(leaving.id.clone(), 0, Some(ms(1_000)), ms(0));
     assert!(open(&gates, &leaving, 999).is_empty());
-    assert_eq!(open(&gates, &leaving, 20_000), [Asked::Free], "a pause that ends changes nothing");
+    assert_eq!(
+        open(&gates, &leaving, 20_000),
+        [CallKind::Free],
+        "a pause that ends changes nothing"
+    );
 }
 
 #[test]
--- a/tests/direct_limits.rs
+++ b/tests/direct_limits.rs
@@ -14,12 +14,12 @@
 use stackmast::direct::core::{GatewayCore, Setup};
 use stackmast::direct::event::{Action, CallParams, Event, Refused};
 use stackmast::direct::gates::Gates;
-use stackmast::direct::limits::known::{KnownLimits, LimitTold};
-use stackmast::direct::limits::limiter::{Ask, Asker, Decided, Limiter, Pace};
+use stackmast::direct::limits::known::{AnnouncedLimit, KnownLimits};
+use stackmast::direct::limits::limiter::{Asker, Limiter, Pace, PermitDecision, PermitRequest};
 use stackmast::direct::peers::build::Build;
 use stackmast::direct::peers::members::{Member, MemberState, Members};
 use stackmast::direct::peers::message::PeerMessage;
-use stackmast::direct::statement::{Asked, RateLimit, RequestRate, Statement};
+use stackmast::direct::statement::{CallKind, RateLimit, RequestRate, Statement};
 use test_case::test_case;
 
 fn rate(per_second: f64) -> RequestRate {
@@ -95,7 +95,7 @@
 /// An answer to a message that went out at a time is read.
 fn state(known: &mut KnownLimits, limit: RateLimit, sent: u64, read: u64) {
     if known.is_changed_by(&engine(1), limit, ms(sent)) {
-        known.stated(&engine(1), limit, ms(read));
+        known.record(&engine(1), limit, ms(read));
     }
 }
 
@@ -118,8 +118,8 @@
     assert_eq!(free, expected.map(rate));
 }
 
-fn account(version: u64, limit: RateLimit) -> LimitTold {
-    LimitTold { endpoint: engine(1).id.clone(), incarnation: 0, version, limit }
+fn account(version: u64, limit: RateLimit) -> AnnouncedLimit {
+    AnnouncedLimit { endpoint: engine(1).id.clone(), incarnation: 0, version, limit }
 }
 
 #[test]
@@ -136,7 +136,7 @@
         for number in 0..accounts.len() * 2 {
             let told = &accounts[(start + number * 3) % accounts.len()];
             if known.is_superseded_by(told) {
-                known.told(told, ms(10));
+                known.merge(told, ms(10));
             }
         }
         assert_eq!(known.rate(&engine(1), ms(20)), Some(rate(2.0)), "the newest, the strictest");
@@ -174,27 +174,27 @@
 fn memory_is_bounded() {
     let mut known = KnownLimits::default();
     for number in 0..6_000u64 {
-        let told = LimitTold { incarnation: number, ..account(1, at(1.0)) };
-        known.told(&told, ms(number));
+        let told = AnnouncedLimit { incarnation: number, ..account(1, at(1.0)) };
+        known.merge(&told, ms(number));
     }
     assert!(known.len() <= 4_096);
-    assert!(known.news().len() <= 256);
-    let gone = known.forget(|_| false, ms(6_000) + Duration::from_secs(601));
+    assert!(known.take_changes().len() <= 256);
+    let gone = known.expire(|_| false, ms(6_000) + Duration::from_secs(601));
     assert!(known.is_empty() && !gone.is_empty());
 }
 
 #[test]
 fn a_message_that_was_ordered_before_goes_out_with_a_permit_only() {
     let (gates, named) = (Gates::default(), engine(1));
-    gates.limit(named.id.clone(), 0, true, ms(0));
-    for asked in [Asked::Request, Asked::Pieces, Asked::Report, Asked::Free] {
+    gates.set_limited(named.id.clone(), 0, true, ms(0));
+    for asked in [CallKind::Request, CallKind::Pieces, CallKind::Report, CallKind::Free] {
         assert!(!gates.is_open(&named, asked, None, ms(90_000)), "also much later");
         assert!(gates.is_open(&named, asked, Some(ms(50)), ms(49)));
         assert!(!gates.is_open(&named, asked, Some(ms(50)), ms(50)), "it is void");
         assert!(gates.is_open(&engine(2), asked, None, ms(0)));
     }
-    gates.limit(named.id.clone(), 0, false, ms(90_000));
-    assert!(gates.is_open(&named, Asked::Request, None, ms(90_000)));
+    gates.set_limited(named.id.clone(), 0, false, ms(90_000));
+    assert!(gates.is_open(&named, CallKind::Request, None, ms(90_000)));
 }
 
 #[test]
@@ -243,24 +243,24 @@
     let mut limiter = Limiter::default();
     let asker = |number| Asker { gateway: address(1), number };
     let mut ask = |number, priority, latest: u64| {
-        let ask = Ask { asker: asker(number), priority, latest: ms(latest) };
-        limiter.ask(&life, pace, ask, ms(0))
+        let ask = PermitRequest { asker: asker(number), priority, latest: ms(latest) };
+        limiter.request(&life, pace, ask, ms(0))
     };
     assert!(ask(1, 5, 9_000).is_empty());
     assert!(ask(2, 5, 8_000).is_empty());
     assert!(ask(3, 1, 9_000).is_empty());
     // Two fit before it; behind what is more urgent it would be late.
-    assert!(matches!(ask(4, 9, 2_000)[..], [Decided::Refused(who, turn)]
+    assert!(matches!(ask(4, 9, 2_000)[..], [PermitDecision::Refused(who, turn)]
         if who == asker(4) && turn > ms(4_300) && turn < ms(4_600)));
     assert!(ask(5, 5, 4_500).is_empty());
     // It comes first, and the last one that is less urgent has to wait for longer than it may.
     assert!(matches!(ask(6, 0, 9_000)[..], []));
     let mut given = Vec::new();
     for now in 0..8_000 {
-        for decided in limiter.look(None, |_| Some(pace), ms(250), ms(now)) {
+        for decided in limiter.issue_due(None, |_| Some(pace), ms(250), ms(now)) {
             match decided {
-                Decided::Given(asker) => given.push(asker.number),
-                Decided::Refused(asker, _) => panic!("{asker:?} at {now}"),
+                PermitDecision::Granted(asker) => given.push(asker.number),
+                PermitDecision::Refused(asker, _) => panic!("{asker:?} at {now}"),
             }
         }
     }
@@ -271,14 +271,14 @@
 fn a_more_urgent_one_takes_the_turn_of_one_that_can_not_wait() {
     let (life, pace) = (("engine-1".into(), 0), Pace::new(rate(1.0), 1.0));
     let mut limiter = Limiter::default();
-    let ask = |number, priority, latest: u64| Ask {
+    let ask = |number, priority, latest: u64| PermitRequest {
         asker: Asker { gateway: address(1), number },
         priority,
         latest: ms(latest),
     };
-    assert!(limiter.ask(&life, pace, ask(1, 5, 1_500), ms(0)).is_empty());
-    let decided = limiter.ask(&life, pace, ask(2, 0, 1_500), ms(10));
-    let [Decided::Refused(who, turn)] = decided[..] else { panic!("{decided:?}") };
+    assert!(limiter.request(&life, pace, ask(1, 5, 1_500), ms(0)).is_empty());
+    let decided = limiter.request(&life, pace, ask(2, 0, 1_500), ms(10));
+    let [PermitDecision::Refused(who, turn)] = decided[..] else { panic!("{decided:?}") };
     assert!(who.number == 1 && turn > ms(2_000) && turn < ms(2_300), "refused at once: {turn:?}");
 }
 
@@ -328,7 +328,7 @@
     (gateway(1), gateway(2))
 }
 
-fn limits_told(actions: &[Action]) -> Vec<LimitTold> {
+fn limits_told(actions: &[Action]) -> Vec<AnnouncedLimit> {
     let messages = actions.iter().filter_map(|a| match a {
         Action::Broadcast { message: PeerMessage::Gossip { limits, .. }, .. }
         | Action::Send { message: PeerMessage::Gossip { limits, .. }, .. } => Some(limits),
--- a/tests/direct_members.rs
+++ b/tests/direct_members.rs
@@ -11,7 +11,7 @@
 use stackmast::direct::owner::producers::{Producers, Usage};
 use stackmast::direct::peers::members::{Heard, Member, MemberState, Members};
 use stackmast::direct::published::documents::{Document, Documents, EntryState, Revised, Seen};
-use stackmast::direct::repeats::{Bounds, Repeats};
+use stackmast::direct::repeats::{RepeatBudget, RepeatLimiter};
 use stackmast::direct::stop::others_serve;
 use stackmast::direct::stream::EventSplitter;
 use test_case::test_case;
@@ -275,14 +275,14 @@
 
 #[test]
 fn repeats_stay_within_the_share_in_every_window() {
-    let bounds = Bounds { ratio: 0.2, slack: 40.0, window: Duration::from_secs(10) };
-    let mut repeats = Repeats::new(bounds);
+    let bounds = RepeatBudget { ratio: 0.2, slack: 40.0, window: Duration::from_secs(10) };
+    let mut repeats = RepeatLimiter::new(bounds);
     let pool = "p".into();
     let mut taken = Vec::new();
     for step in 0..4_000u64 {
         let now = ms(step * 10);
-        repeats.first(&pool, 1, now);
-        if repeats.take(&pool, 4, now) {
+        repeats.record_first_sends(&pool, 1, now);
+        if repeats.try_take(&pool, 4, now) {
             taken.push(now);
         }
     }
--- a/tests/direct_pauses.rs
+++ b/tests/direct_pauses.rs
@@ -18,7 +18,7 @@
 use stackmast::direct::log_events::LogEvent;
 use stackmast::direct::owner::owners::Owners;
 use stackmast::direct::published::model::ColdStart;
-use stackmast::direct::repeats::Bounds;
+use stackmast::direct::repeats::RepeatBudget;
 use stackmast::direct::statement::{Backoff, Statement};
 
 #[test]
@@ -196,10 +196,10 @@
 
 #[test]
 fn a_cell_that_is_begun_during_a_pause_knows_of_it() {
-    let bounds = Bounds { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) };
+    let bounds = RepeatBudget { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) };
     let (mut owners, table) = (Owners::new(address(1), bounds), table(routes()));
     let mut known = Backoffs::new(address(1));
-    known.asked(&endpoint("first", 1), Backoff::For(ms(9 * SECONDS)), ms(0));
+    known.record(&endpoint("first", 1), Backoff::For(ms(9 * SECONDS)), ms(0));
     owners.paused(&endpoint("first", 1), &Arc::new(known), &table, ms(0));
     for number in 1..=4 {
         owners.submit(job(number, &staged(), 4), &table, ms(10));
--- a/tests/direct_poison.rs
+++ b/tests/direct_poison.rs
@@ -4,10 +4,10 @@
 
 use directenv::{ms, table};
 use proptest::prelude::*;
-use stackmast::direct::poison::broken::{Broken, Verdict};
 use stackmast::direct::poison::fingerprint::Fingerprint;
 use stackmast::direct::poison::successes::Successes;
-use stackmast::direct::poison::suspects::{KEPT, Suspects};
+use stackmast::direct::poison::suspects::{RETENTION, Suspects};
+use stackmast::direct::poison::unanswered::{UnansweredCalls, Verdict};
 use stackmast::direct::poison::{Run, Unanswered};
 use test_case::test_case;
 
@@ -24,7 +24,7 @@
 fn callers_are_told_apart() {
     let content = Fingerprint::of_content("POST", "/a", b"b");
     let callers = [None, Some("guild"), Some("other")];
-    let told: std::collections::BTreeSet<_> = callers.map(|c| content.asked_by(c)).into();
+    let told: std::collections::BTreeSet<_> = callers.map(|c| content.for_organisation(c)).into();
     assert_eq!(told.len(), callers.len());
 }
 
@@ -37,7 +37,7 @@
 }
 
 fn end(suspects: &mut Suspects, endpoint: &str, runs: &[Run]) -> Vec<Fingerprint> {
-    let quarantined = suspects.crashed(&endpoint.into(), 1, runs, ms(0));
+    let quarantined = suspects.record_crash(&endpoint.into(), 1, runs, ms(0));
     quarantined.into_iter().map(|c| c.fingerprint).collect()
 }
 
@@ -58,9 +58,9 @@
     let mut suspects = Suspects::default();
     let shared = |round| [run(1, round, false), run(2, round, false)];
     end(&mut suspects, "a", &shared(1));
-    assert!(!suspects.goes_alone(content(2)));
+    assert!(!suspects.is_isolated(content(2)));
     end(&mut suspects, "b", &shared(2));
-    assert!(suspects.goes_alone(content(1)) && suspects.goes_alone(content(2)));
+    assert!(suspects.is_isolated(content(1)) && suspects.is_isolated(content(2)));
     assert_eq!(end(&mut suspects, "c", &shared(3)), [], "two calls may be out at once");
     assert_eq!(end(&mut suspects, "d", &[run(1, 3, true)]), [content(1)]);
     assert!(!suspects.is_poison(content(2)));
@@ -95,10 +95,10 @@
     }
     assert!(suspects.len() <= 512, "{}", suspects.len());
     assert!(suspects.is_poison(content(0)), "the one with most crashes stays");
-    assert!(suspects.news(ms(0)).len() <= 16);
-    assert!(!suspects.is_outdated(KEPT - ms(1)) && suspects.is_outdated(KEPT));
-    suspects.forget(KEPT);
-    assert!(suspects.is_empty() && suspects.poison() == 0);
+    assert!(suspects.take_changes(ms(0)).len() <= 16);
+    assert!(!suspects.has_expired(RETENTION - ms(1)) && suspects.has_expired(RETENTION));
+    suspects.expire(RETENTION);
+    assert!(suspects.is_empty() && suspects.quarantined_count() == 0);
 }
 
 #[test]
@@ -106,19 +106,19 @@
     let mut suspects = Suspects::default();
     end(&mut suspects, "a", &[run(1, 1, true)]);
     end(&mut suspects, "b", &[run(1, 2, true)]);
-    let told = (0..10).filter(|_| !suspects.news(ms(0)).is_empty()).count();
+    let told = (0..10).filter(|_| !suspects.take_changes(ms(0)).is_empty()).count();
     assert_eq!(told, 4);
     let mut late = Suspects::default();
     assert_ne!(late.digest(), suspects.digest());
-    late.told(&suspects.accounts(ms(0)), ms(50));
+    late.merge(&suspects.announcements(ms(0)), ms(50));
     assert_eq!(late.digest(), suspects.digest());
-    assert!(late.has_news(), "who hears it tells it on");
-    late.told(&suspects.accounts(ms(0)), ms(60));
+    assert!(late.has_changes(), "who hears it tells it on");
+    late.merge(&suspects.announcements(ms(0)), ms(60));
     for _ in 0..4 {
-        late.news(ms(0));
+        late.take_changes(ms(0));
     }
-    late.told(&suspects.accounts(ms(0)), ms(70));
-    assert!(!late.has_news(), "what is known is no news");
+    late.merge(&suspects.announcements(ms(0)), ms(70));
+    assert!(!late.has_changes(), "what is known is no news");
 }
 
 #[test]
@@ -126,23 +126,25 @@
     let mut suspects = Suspects::default();
     end(&mut suspects, "a", &[run(1, 1, true)]);
     end(&mut suspects, "b", &[run(1, 2, true)]);
-    let told = suspects.accounts(KEPT);
+    let told = suspects.announcements(RETENTION);
     let mut other = Suspects::default();
-    other.told(&told, ms(0));
+    other.merge(&told, ms(0));
     assert!(other.is_empty(), "or two gateways would keep it for each other for ever");
 }
 
 #[test]
 fn what_ran_well_speaks_for_its_content_for_a_while() {
     let mut successes = Successes::default();
-    successes.ran(content(1), ms(0));
-    assert!(successes.has(content(1), ms(59_999)) && !successes.has(content(1), ms(60_000)));
-    successes.ran(content(1), ms(30_000));
+    successes.record(content(1), ms(0));
+    assert!(
+        successes.contains(content(1), ms(59_999)) && !successes.contains(content(1), ms(60_000))
+    );
+    successes.record(content(1), ms(30_000));
     for number in 2..6_000 {
-        successes.ran(content(number), ms(40_000));
+        successes.record(content(number), ms(40_000));
     }
-    assert!(!successes.has(content(1), ms(40_000)), "the oldest give way");
-    assert!(successes.has(content(5_999), ms(40_000)));
+    assert!(!successes.contains(content(1), ms(40_000)), "the oldest give way");
+    assert!(successes.contains(content(5_999), ms(40_000)));
 }
 
 fn crashes() -> impl Strategy<Value = Vec<(u64, u8, u8, bool, bool)>> {
@@ -164,15 +166,15 @@
             suspects
         };
         let (mut one, mut other) = (know(&first), know(&second));
-        let (told_one, told_other) = (one.news(ms(0)), other.news(ms(0)));
-        one.told(&told_other, ms(0));
-        other.told(&told_one, ms(0));
+        let (told_one, told_other) = (one.take_changes(ms(0)), other.take_changes(ms(0)));
+        one.merge(&told_other, ms(0));
+        other.merge(&told_one, ms(0));
         prop_assert_eq!(one.digest(), other.digest());
         for number in 0..4 {
             prop_assert_eq!(one.is_poison(content(number)), other.is_poison(content(number)));
         }
         let before = one.digest();
-        one.told(&told_other, ms(0));
+        one.merge(&told_other, ms(0));
         prop_assert_eq!(one.digest(), before, "telling twice changes nothing");
     }
 }
@@ -183,9 +185,9 @@
 fn an_endpoint_that_lived_when_it_was_probed_is_probed_again_with_the_next_call_that_breaks() {
     let table = table(Vec::new());
     let endpoint = table.endpoint("engine-1").expect("an endpoint").clone();
-    let mut broken = Broken::default();
+    let mut broken = UnansweredCalls::default();
     let runs = [run(1, 1, true)];
-    let mut breaks = |now| broken.unanswered(&endpoint, &runs, Unanswered::Broken, &table, ms(now));
+    let mut breaks = |now| broken.record(&endpoint, &runs, Unanswered::Broken, &table, ms(now));
     assert!(matches!(breaks(0), Verdict::Probe(_)));
     assert!(matches!(breaks(1), Verdict::Wait), "one probe at a time");
     let mut probed =
@@ -195,7 +197,7 @@
         "the second call broke after it went out"
     );
     assert!(matches!(probed(false, 4), Verdict::Wait));
-    let verdict = broken.unanswered(&endpoint, &runs, Unanswered::Broken, &table, ms(500));
+    let verdict = broken.record(&endpoint, &runs, Unanswered::Broken, &table, ms(500));
     assert!(matches!(verdict, Verdict::Probe(_)));
     let Verdict::Crashed(ended) = broken.probed(&endpoint.id, endpoint.incarnation, true, ms(502))
     else {
@@ -209,13 +211,13 @@
     let mut suspects = Suspects::default();
     end(&mut suspects, "a", &[run(1, 1, true)]);
     end(&mut suspects, "b", &[run(1, 2, true)]);
-    let told = suspects.accounts(ms(0));
-    let is_news = |suspects: &Suspects| suspects.is_news(&told[0], ms(0));
+    let told = suspects.announcements(ms(0));
+    let is_news = |suspects: &Suspects| suspects.is_new(&told[0], ms(0));
     assert!(!is_news(&suspects) && is_news(&Suspects::default()));
     let mut less = Suspects::default();
     end(&mut less, "b", &[run(1, 1, true)]);
     assert!(is_news(&less));
-    less.told(&told, ms(0));
+    less.merge(&told, ms(0));
     assert!(!is_news(&less));
     less.clear(content(1), ms(0));
     assert!(!is_news(&less), "what was cleared since is older");
--- a/tests/direct_pulls.rs
+++ b/tests/direct_pulls.rs
@@ -17,7 +17,7 @@
 use stackmast::direct::published::model::Repeat;
 use stackmast::direct::published::store_read::StoreRead;
 use stackmast::direct::published::table::Table;
-use stackmast::direct::repeats::Bounds;
+use stackmast::direct::repeats::RepeatBudget;
 use stackmast::message::Timestamp;
 use test_case::test_case;
 
@@ -29,7 +29,7 @@
         capacity: 90,
         data_centre: "hall-1".into(),
         seeds: Vec::new(),
-        repeats: Bounds { ratio: 0.2, slack: 20.0, window: ms(10_000) },
+        repeats: RepeatBudget { ratio: 0.2, slack: 20.0, window: ms(10_000) },
         grace: ms(8_000),
         settling: ms(0),
         seed: 1,
--- a/tests/direct_quarantine.rs
+++ b/tests/direct_quarantine.rs
@@ -18,7 +18,7 @@
 use stackmast::direct::peers::message::PeerMessage;
 use stackmast::direct::poison::Run;
 use stackmast::direct::poison::fingerprint::Fingerprint;
-use stackmast::direct::poison::suspects::{KEPT, Suspects};
+use stackmast::direct::poison::suspects::{RETENTION, Suspects};
 use stackmast::direct::published::model::{Endpoint, Repeat, Route};
 
 fn content() -> Fingerprint {
@@ -72,7 +72,7 @@
     }
     let refusal = refusal(&submit(&mut core, 4, poison("r", vec![]), ms(4_000))).expect("refused");
     assert_eq!((refusal.reason, refusal.not_run), (Refused::Poison, true));
-    assert!(refusal.retry_after >= KEPT);
+    assert!(refusal.retry_after >= RETENTION);
     let innocent = submit(&mut core, 5, incoming("r", vec![]), ms(4_001));
     assert_eq!(calls(&innocent).len(), 1, "another body is another request");
 }
@@ -99,11 +99,11 @@
 
 /// What another gateway knows of the poison.
 fn known() -> Suspects {
-    let fingerprint = content().asked_by(Some("org"));
+    let fingerprint = content().for_organisation(Some("org"));
     let mut suspects = Suspects::default();
     for round in 1..=3 {
         let run = Run { fingerprint, round, alone: true };
-        suspects.crashed(&format!("engine-{}", round + 2).as_str().into(), 1, &[run], ms(0));
+        suspects.record_crash(&format!("engine-{}", round + 2).as_str().into(), 1, &[run], ms(0));
     }
     suspects
 }
@@ -113,7 +113,7 @@
     let mut core = core();
     let actions = submit(&mut core, 1, poison("s", vec![1]), ms(1_000));
     assert!(refusal(&actions).is_none());
-    let message = PeerMessage::Suspects(known().accounts(ms(0)));
+    let message = PeerMessage::Suspects(known().announcements(ms(0)));
     let actions = core.handle(Event::PeerMessage { from: address(2), message }, ms(1_050));
     let refusal = refusal(&actions).expect("nothing can come of it");
     assert_eq!((refusal.reason, refusal.not_run), (Refused::Poison, true));
@@ -136,7 +136,7 @@
         told(actions).into_iter().any(|m| matches!(m, PeerMessage::Suspects(_)))
     };
     assert!(!tells(&ask(&mut core, 0)), "both know nothing");
-    let message = PeerMessage::Suspects(known().accounts(ms(0)));
+    let message = PeerMessage::Suspects(known().announcements(ms(0)));
     core.handle(Event::PeerMessage { from: address(2), message }, ms(3_310));
     assert!(tells(&ask(&mut core, 0)));
     assert!(!tells(&ask(&mut core, known().digest())));
@@ -162,7 +162,7 @@
     let attempt = calls(&submit(&mut core, 1, poison("r", vec![]), ms(1_000)))[0].0;
     let event = Event::Answered { caller: 1, attempt, proof: good(), is_open: true };
     core.handle(event, ms(1_010));
-    let message = PeerMessage::Suspects(known().accounts(ms(0)));
+    let message = PeerMessage::Suspects(known().announcements(ms(0)));
     let actions = core.handle(Event::PeerMessage { from: address(2), message }, ms(1_050));
     assert!(
         !actions.iter().any(|a| matches!(a, Action::AbortStream { .. })),
--- a/tests/direct_restarts.rs
+++ b/tests/direct_restarts.rs
@@ -18,7 +18,7 @@
 use stackmast::direct::published::documents::{Document, Documents, Revised};
 use stackmast::direct::published::model::{Endpoint, Repeat};
 use stackmast::direct::published::table::Table;
-use stackmast::direct::repeats::Bounds;
+use stackmast::direct::repeats::RepeatBudget;
 use test_case::test_case;
 
 /// An endpoint that tells its life.
@@ -122,7 +122,7 @@
 }
 
 fn scheduler() -> Scheduler {
-    Scheduler::new(Bounds { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) })
+    Scheduler::new(RepeatBudget { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) })
 }
 
 fn batches(actions: &[Action]) -> Vec<(u64, String, Vec<usize>)> {
--- a/tests/direct_scheduler.rs
+++ b/tests/direct_scheduler.rs
@@ -13,10 +13,10 @@
 use stackmast::direct::peers::message::{Job, JobReason, PeerMessage};
 use stackmast::direct::published::model::{Pool, Repeat, Route};
 use stackmast::direct::published::table::Table;
-use stackmast::direct::repeats::Bounds;
+use stackmast::direct::repeats::RepeatBudget;
 
 fn scheduler() -> Scheduler {
-    Scheduler::new(Bounds { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) })
+    Scheduler::new(RepeatBudget { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) })
 }
 
 /// Calls among actions: id, endpoint, pieces.
@@ -289,7 +289,7 @@
 fn repeats_end_with_the_budget() {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10)]);
     let table = table(vec![route.clone()]);
-    let bounds = Bounds { ratio: 0.0, slack: 2.0, window: Duration::from_secs(10) };
+    let bounds = RepeatBudget { ratio: 0.0, slack: 2.0, window: Duration::from_secs(10) };
     let mut scheduler = Scheduler::new(bounds);
     scheduler.submit(job(1, &route, 4), &table, ms(0));
     let first = calls(&scheduler.actions(&table, ms(0)));
--- a/tests/direct_upgrades.rs
+++ b/tests/direct_upgrades.rs
@@ -23,7 +23,7 @@
 use stackmast::direct::peers::message::{JobReason, PeerMessage};
 use stackmast::direct::published::evacuations::Evacuation;
 use stackmast::direct::published::model::Repeat;
-use stackmast::direct::statement::{Asked, Statement};
+use stackmast::direct::statement::{CallKind, Statement};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
@@ -261,7 +261,7 @@
 fn an_older_builds_silence_takes_nothing_back() {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
     let statement = Statement { leaving: true, ..Statement::default() };
-    let (leaving, asked) = (endpoint("engine", 1), Asked::Request);
+    let (leaving, asked) = (endpoint("engine", 1), CallKind::Request);
     let stated = Event::EndpointStatus {
         endpoint: leaving.clone(),
         asked,
--- a/tests/directenv/fakes.rs
+++ b/tests/directenv/fakes.rs
@@ -8,7 +8,7 @@
 };
 use stackmast::direct::event::{CallParams, Event, Generation, PieceParams};
 use stackmast::direct::published::model::{Endpoint, Repeat, Route};
-use stackmast::direct::statement::Asked;
+use stackmast::direct::statement::CallKind;
 
 use super::ms;
 use super::world::{Happening, World};
@@ -24,7 +24,7 @@
         let requested_at = self.now;
         let event = Event::ReportReceived { endpoint: endpoint.id.clone(), report, requested_at };
         let at = self.now + self.time_in(ms(1), ms(8));
-        self.answers(number, endpoint, Asked::Report, at);
+        self.answers(number, endpoint, CallKind::Report, at);
         self.at(at, Happening::Event(number, self.lives[number], Box::new(event)));
     }
 
@@ -83,7 +83,7 @@
             let sent = Event::CallSent { caller, attempt };
             self.at(self.now + ms(1), Happening::Event(number, life, Box::new(sent)));
         }
-        self.answers(number, &params.endpoint, Asked::Request, self.now + delay);
+        self.answers(number, &params.endpoint, CallKind::Request, self.now + delay);
         let is_stream = spec.streams && matches!(&event, Event::Answered { is_open: true, .. });
         self.at(self.now + delay, Happening::Event(number, life, Box::new(event)));
         if is_stream {
@@ -133,7 +133,7 @@
         if matches!(outcome, BatchOutcome::Full | BatchOutcome::OtherEndpoint) {
             delay = ms(2);
         }
-        self.answers(number, endpoint, Asked::Pieces, self.now + delay);
+        self.answers(number, endpoint, CallKind::Pieces, self.now + delay);
         let life = self.lives[number];
         let event = Event::BatchEnded { call, outcome };
         self.at(self.now + delay, Happening::Event(number, life, Box::new(event)));
--- a/tests/directenv/gateway.rs
+++ b/tests/directenv/gateway.rs
@@ -8,14 +8,14 @@
 use stackmast::direct::core::{GatewayCore, Setup};
 use stackmast::direct::departures::Departure;
 use stackmast::direct::event::{Action, CallParams, Event, IncomingRequest, Refusal};
-use stackmast::direct::limits::known::LimitTold;
+use stackmast::direct::limits::known::AnnouncedLimit;
 use stackmast::direct::peers::members::{Member, MemberState};
 use stackmast::direct::peers::message::PeerMessage;
 use stackmast::direct::poison::fingerprint::Fingerprint;
 use stackmast::direct::published::documents::{Document, Revised, Seen};
 use stackmast::direct::published::evacuations::Evacuations;
 use stackmast::direct::published::model::{Deployment, Endpoint, Route};
-use stackmast::direct::repeats::Bounds;
+use stackmast::direct::repeats::RepeatBudget;
 
 use super::{address, deployment, endpoints, ms, position};
 
@@ -33,7 +33,7 @@
         capacity: 1_000,
         data_centre: "hall-1".into(),
         seeds: Vec::new(),
-        repeats: Bounds { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) },
+        repeats: RepeatBudget { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) },
         grace: Duration::from_secs(8),
         settling: Duration::ZERO,
         seed: 7,
@@ -133,7 +133,7 @@
     pub late: Duration,
     pub evacuations: Evacuations,
     pub departures: Vec<Departure>,
-    pub limits: Vec<LimitTold>,
+    pub limits: Vec<AnnouncedLimit>,
     pub era: u64,
 }
 
--- a/tests/directenv/limits.rs
+++ b/tests/directenv/limits.rs
@@ -13,7 +13,7 @@
 use stackmast::direct::gates::Gates;
 use stackmast::direct::published::documents::{Document, Revised};
 use stackmast::direct::published::model::{Endpoint, Name, Repeat};
-use stackmast::direct::statement::{Asked, RateLimit, RequestRate, Statement};
+use stackmast::direct::statement::{CallKind, RateLimit, RequestRate, Statement};
 
 use super::gateway::{good, incoming, setup};
 use super::timeline::{Gateway, Timeline, heard};
@@ -367,7 +367,7 @@
                 self.time.at(self.time.now + after, goes_out);
             }
             Action::RequirePermits { endpoint, incarnation, is_limited } => {
-                self.gates[number].limit(endpoint, incarnation, is_limited, self.time.now);
+                self.gates[number].set_limited(endpoint, incarnation, is_limited, self.time.now);
             }
             Action::Refuse { .. } => self.seen.refused += 1,
             _ => {}
@@ -390,7 +390,7 @@
     fn goes_out(&mut self, number: usize, caller: u64, attempt: u64, params: &CallParams) {
         let (now, life) = (self.time.now, self.gateways[number].life);
         let endpoint = params.endpoint.clone();
-        if !self.gates[number].is_open(&endpoint, Asked::Request, params.permit, now) {
+        if !self.gates[number].is_open(&endpoint, CallKind::Request, params.permit, now) {
             self.seen.withheld += 1;
             let failure = CallFailure::Withheld;
             return self.handle(number, Event::CallFailed { caller, attempt, failure });
@@ -421,7 +421,7 @@
         let limit = Some(limit);
         let statement = Statement { limit, ..Statement::default() };
         if !statement.is_empty() || self.gates[number].is_limited(&endpoint) {
-            let asked = Asked::Request;
+            let asked = CallKind::Request;
             let stated = Event::EndpointStatus { endpoint, asked, statement, sent, at };
             self.time.at(at, Happening::Event(number, life, Box::new(stated)));
         }
--- a/tests/directenv/said.rs
+++ b/tests/directenv/said.rs
@@ -10,7 +10,7 @@
 use stackmast::direct::event::{Action, Event};
 use stackmast::direct::peers::message::PeerMessage;
 use stackmast::direct::published::model::{Endpoint, Repeat, Route};
-use stackmast::direct::statement::{Asked, Backoff, Statement};
+use stackmast::direct::statement::{Backoff, CallKind, Statement};
 
 use super::gateway::{Says, calls, good, incoming, listed, serving, submit};
 use super::{address, endpoint, ms, route};
@@ -53,7 +53,7 @@
 ) -> Vec<Action> {
     let event = Event::EndpointStatus {
         endpoint: who.clone(),
-        asked: Asked::Request,
+        asked: CallKind::Request,
         statement,
         sent: ms(at),
         at: ms(at),
--- a/tests/directenv/statements.rs
+++ b/tests/directenv/statements.rs
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use stackmast::direct::event::{Action, Event};
 use stackmast::direct::published::model::Endpoint;
-use stackmast::direct::statement::{Asked, Backoff, Statement};
+use stackmast::direct::statement::{Backoff, CallKind, Statement};
 
 use super::ms;
 use super::world::{BUSY, Happening, World};
@@ -50,7 +50,7 @@
     }
 
     /// An answer that is read at a time may say something of its endpoint.
-    pub fn answers(&mut self, number: usize, endpoint: &Endpoint, asked: Asked, at: Duration) {
+    pub fn answers(&mut self, number: usize, endpoint: &Endpoint, asked: CallKind, at: Duration) {
         let Some(statements) = self.statements.as_mut().filter(|_| at < BUSY) else {
             return;
         };
--- a/tests/directenv/world.rs
+++ b/tests/directenv/world.rs
@@ -16,7 +16,7 @@
 use stackmast::direct::peers::message::PeerMessage;
 use stackmast::direct::poison::fingerprint::Fingerprint;
 use stackmast::direct::published::model::{Repeat, Route};
-use stackmast::direct::repeats::Bounds;
+use stackmast::direct::repeats::RepeatBudget;
 use stackmast::direct::requests::early::SETTLING;
 
 pub const GATEWAYS: u16 = 3;
@@ -234,7 +234,7 @@
             capacity: 1_000,
             data_centre: format!("hall-{}", number % 2).into(),
             seeds,
-            repeats: Bounds { ratio: 0.2, slack: 60.0, window: Duration::from_secs(10) },
+            repeats: RepeatBudget { ratio: 0.2, slack: 60.0, window: Duration::from_secs(10) },
             grace: Duration::from_secs(8),
             settling: SETTLING,
             seed: self.rng.random(),
