--- a/src/direct/core.rs
+++ b/src/direct/core.rs
@@ -121,7 +121,8 @@
     pub(super) documents_since: Option<Timestamp>,
     /// When readiness was last checked.
     pub(super) readiness_checked_at: Timestamp,
-    /// When configuration and list were first the newest known ones.
+    /// When configuration and endpoint list first were the newest known ones, so that requests can
+    /// be decided.
     pub(super) complete_since: Option<Timestamp>,
     pub(super) next_heartbeat: Timestamp,
     pub(super) stop: Option<Stop>,
--- a/src/direct/endpoint_status.rs
+++ b/src/direct/endpoint_status.rs
@@ -176,8 +176,8 @@
         self.departures.newest(|departure| self.is_listed_as_leaving(departure))
     }
 
-    /// Probes an endpoint, or defers the probe to the end of its pause; its entry may give the
-    /// answer before.
+    /// Probes an endpoint, or defers the probe to the end of its pause; until then its entry may
+    /// show whether it crashed.
     pub(super) fn probe_unless_paused(&mut self, endpoint: Arc<Endpoint>, now: Timestamp) {
         match self.backoffs.paused_until(&endpoint, now) {
             Some(until) => {
--- a/src/direct/peer_messages.rs
+++ b/src/direct/peer_messages.rs
@@ -227,9 +227,9 @@
         self.out.push(Action::Broadcast { to, message });
     }
 
-    /// Sends to a peer whose connection failed. If the peer is down, the attempt shows that it is
-    /// unreachable. If it is up, messages in transit may be lost, so the jobs that it has of this
-    /// gateway are submitted to it again.
+    /// Sends gossip to a peer whose connection failed. If the peer is down, the attempt shows that
+    /// it is unreachable. If it is up, messages in transit may be lost, so this gateway's jobs are
+    /// submitted to it again.
     pub(super) fn probe_peer(&mut self, address: SocketAddr, now: Timestamp) {
         let message = self.gossip(Vec::new(), Vec::new(), now);
         self.send(address, message);
--- a/src/direct/publication.rs
+++ b/src/direct/publication.rs
@@ -272,7 +272,7 @@
         }
         for change in changes.iter().filter(|change| evacuations.left_out(change)) {
             let key = change.data_centre.to_string();
-            self.log(LogEvent::Unreadable { key, cause: "too many orders to evacuate".to_owned() });
+            self.log(LogEvent::Unreadable { key, cause: "too many evacuation orders".to_owned() });
         }
         if self.evacuations_merged(evacuations, PUBLISHER, now) {
             self.next_heartbeat = Timestamp::ZERO;
--- a/src/direct/stop.rs
+++ b/src/direct/stop.rs
@@ -66,7 +66,7 @@
             && (now < self.earliest_end() || expected <= MAX_LATE_EXPECTED)
     }
 
-    /// Until when callers may arrive that do not know of the stop.
+    /// Earliest end of the process; until then callers may arrive that have not noticed the stop.
     pub fn earliest_end(&self) -> Timestamp {
         self.since + MIN_DURATION
     }
