--- a/src/direct/core.rs
+++ b/src/direct/core.rs
@@ -267,7 +267,9 @@
             Event::Evacuations { changes, snapshot_at } => {
                 self.evacuations_published(&changes, snapshot_at, now);
             }
-            Event::Unreadable { key, cause } => self.log(LogEvent::Unreadable { key, cause }),
+            Event::UnreadableDocument { key, cause } => {
+                self.log(LogEvent::Unreadable { key, cause })
+            }
             Event::UnknownFields { document, fields } => {
                 self.log(LogEvent::unknown_fields(document, fields));
             }
@@ -284,7 +286,7 @@
                 self.pull_failed(from, pull, "broken off", now)
             }
             Event::StoreRead(read) => self.on_store_read(&read),
-            Event::Seeds(seeds) => self.members.set_seeds(seeds),
+            Event::SeedsChanged(seeds) => self.members.set_seeds(seeds),
             Event::Drain { at } => self.drain(at.min(now), now),
             Event::Shutdown => self.shut_down(now),
             Event::Tick => {}
--- a/src/direct/event.rs
+++ b/src/direct/event.rs
@@ -223,7 +223,7 @@
         snapshot_at: Option<Position>,
     },
     /// A document in the publisher's store is invalid and is not used.
-    Unreadable {
+    UnreadableDocument {
         /// Key of the document.
         key: String,
         /// Why it is invalid.
@@ -265,7 +265,7 @@
     /// A long read of the publisher's store ended, or any read failed.
     StoreRead(StoreRead),
     /// The settings were reloaded with other seeds.
-    Seeds(Vec<SocketAddr>),
+    SeedsChanged(Vec<SocketAddr>),
     /// The process received the signal to stop.
     Drain {
         /// When the signal arrived; the core may handle this event later.
