--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -112,7 +112,7 @@
 }
 
 fn bytes(message: PeerMessage) -> usize {
-    Outgoing::new(message).for_reader(Some(FORM)).len()
+    Outgoing::new(message).encode_for(Some(FORM)).len()
 }
 
 /// A gateway among others that has heard of limits.
@@ -132,7 +132,7 @@
     let configured = [Document::Deployment(Arc::new(deployment()))];
     let documents = configured.into_iter().chain(entries);
     let documents = documents
-        .map(|document| Revised { position: Position::new(0, 5), made: 0, document })
+        .map(|document| Revised { position: Position::new(0, 5), created_revision: 0, document })
         .collect();
     core.handle(
         Event::Published { documents, snapshot_at: Some(Position::new(0, 5)) },
@@ -206,7 +206,7 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     let wait = Duration::from_millis(700);
     let ask = bytes(PeerMessage::AskPermit { number: 9_000, limit: limit(1), priority: 1, wait });
-    let permit = bytes(PeerMessage::Permit { number: 9_000, given: false, retry_after: wait });
+    let permit = bytes(PeerMessage::Permit { number: 9_000, granted: false, retry_after: wait });
     for gateways in GATEWAYS {
         let members = || (1..=gateways).map(member).collect::<Vec<_>>();
         for limited in LIMITED {
--- a/src/direct/cold.rs
+++ b/src/direct/cold.rs
@@ -137,7 +137,7 @@
             let Some(cold_start) = pool.cold else {
                 continue;
             };
-            let returned = table.members(&pool.name).iter();
+            let returned = table.pool_endpoints(&pool.name).iter();
             for endpoint in returned.filter(|e| data_centres.contains(&e.data_centre)) {
                 self.until(endpoint, true, now + cold_start.lasts, now);
             }
--- a/src/direct/core.rs
+++ b/src/direct/core.rs
@@ -22,14 +22,14 @@
 use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::owner::owners::Owners;
 use crate::direct::peers::build::Builds;
-use crate::direct::peers::members::{HEARTBEAT, Members};
+use crate::direct::peers::members::{HEARTBEAT_INTERVAL, Members};
 use crate::direct::peers::message::PeerMessage;
 use crate::direct::peers::pulls::Pulls;
 use crate::direct::poison::successes::Successes;
 use crate::direct::poison::suspects::Suspects;
 use crate::direct::poison::unanswered::UnansweredCalls;
 use crate::direct::published::documents::Documents;
-use crate::direct::published::evacuations::{Evacuations, Unconfirmed};
+use crate::direct::published::evacuations::{Evacuations, UnconfirmedOrders};
 use crate::direct::published::model::{Endpoint, Name};
 use crate::direct::published::position::Eras;
 use crate::direct::published::table::Table;
@@ -79,7 +79,7 @@
     pub(super) documents: Documents,
     pub(super) evacuations: Evacuations,
     /// Orders from before an era that the store has not confirmed yet.
-    pub(super) unconfirmed_orders: Unconfirmed,
+    pub(super) unconfirmed_orders: UnconfirmedOrders,
     /// Data centres that get no new work because of an evacuation order.
     pub(super) evacuated: BTreeSet<Name>,
     /// Known eras of the store.
@@ -143,7 +143,7 @@
             builds: Builds::default(),
             documents: Documents::default(),
             evacuations: Evacuations::default(),
-            unconfirmed_orders: Unconfirmed::default(),
+            unconfirmed_orders: UnconfirmedOrders::default(),
             evacuated: BTreeSet::new(),
             eras: Eras::default(),
             is_published_older: false,
@@ -191,7 +191,7 @@
 
     /// Number of peers that run another build.
     pub fn peers_of_other_builds(&self) -> usize {
-        self.builds.others()
+        self.builds.other_count()
     }
 
     /// Table compiled from the published documents.
@@ -255,7 +255,7 @@
                 }
             }
             Event::PeerOutboundFailed { address } => {
-                let life = self.members.life(address);
+                let life = self.members.incarnation_of(address);
                 if life.is_some_and(|life| self.members.suspect(address, life, now)) {
                     self.probe_peer(address, now);
                 }
@@ -274,11 +274,11 @@
                 self.log(LogEvent::unknown_fields(document, fields));
             }
             Event::PublisherStatus { answers } => {
-                self.documents.publisher(answers, now);
+                self.documents.set_publisher_available(answers, now);
                 self.log(LogEvent::Publisher { answers });
             }
             Event::StoreEra { era } => self.observe_era(era, PUBLISHER),
-            Event::ConfigurationReadProgress => self.pulls.reading(now),
+            Event::ConfigurationReadProgress => self.pulls.read_progressed(now),
             Event::ConfigurationPullProgress { from, progress } => {
                 self.pulls.progressed(from, progress, now)
             }
@@ -369,7 +369,7 @@
         self.send_deferred_probes(now);
         self.process_permits(now);
         if now >= self.next_heartbeat {
-            self.next_heartbeat = now + HEARTBEAT;
+            self.next_heartbeat = now + HEARTBEAT_INTERVAL;
             self.send_heartbeat(now);
         }
         self.pull_missing_documents(now);
--- a/src/direct/endpoint_status.rs
+++ b/src/direct/endpoint_status.rs
@@ -107,7 +107,7 @@
         let is_new = endpoint.as_ref().is_some_and(|endpoint| !endpoint.leaving);
         let (id, incarnation) = (departure.endpoint.clone(), departure.incarnation);
         let listed = self.documents.endpoint(&id).cloned();
-        self.table.depart(departure, listed.as_ref());
+        self.table.mark_departed(departure, listed.as_ref());
         self.out.push(Action::BlockSends { endpoint: id.clone(), incarnation, until: None });
         if !is_new {
             return;
@@ -141,14 +141,14 @@
     /// Removes departures from the table that are no longer kept.
     fn prune_departures(&mut self) {
         let departures = &self.departures;
-        self.table.forget_departed(|departure| departures.contains(departure));
+        self.table.retain_departures(|departure| departures.contains(departure));
     }
 
     /// Whether the list already marks the endpoint of a departure as leaving, or no longer has it.
     fn is_listed_as_leaving(&self, departure: &Departure) -> bool {
-        match self.documents.state(&departure.endpoint) {
-            EntryState::Leaving | EntryState::Gone => true,
-            EntryState::Listed | EntryState::Lapsed => false,
+        match self.documents.entry_state(&departure.endpoint) {
+            EntryState::Leaving | EntryState::Removed => true,
+            EntryState::Listed | EntryState::Expired => false,
         }
     }
 
--- a/src/direct/event.rs
+++ b/src/direct/event.rs
@@ -9,13 +9,13 @@
 use crate::direct::limits::permits::NeededPermit;
 use crate::direct::log_events::LogEvent;
 use crate::direct::peers::build::Build;
-use crate::direct::peers::codec::Unread;
+use crate::direct::peers::codec::Unreadable;
 use crate::direct::peers::message::{Handle, PeerMessage};
 use crate::direct::peers::pulls::Progress;
 use crate::direct::poison::RunReport;
 use crate::direct::poison::fingerprint::Fingerprint;
 use crate::direct::published::documents::Revised;
-use crate::direct::published::evacuations::Evacuation;
+use crate::direct::published::evacuations::EvacuationChange;
 use crate::direct::published::model::{CallerLimits, Endpoint, Name};
 use crate::direct::published::position::Position;
 use crate::direct::published::store_read::StoreRead;
@@ -189,7 +189,7 @@
         /// Compact message form that the peer's greeting announced.
         announced_form: u32,
         /// What can't be read.
-        unread: Unread,
+        unread: Unreadable,
     },
     /// The connection from a peer failed.
     PeerInboundFailed {
@@ -218,7 +218,7 @@
     /// Evacuation orders were read from the publisher's store.
     Evacuations {
         /// Orders that were given or withdrawn, or all orders in force.
-        changes: Vec<Evacuation>,
+        changes: Vec<EvacuationChange>,
         /// Position of the orders if `changes` holds all orders in force.
         snapshot_at: Option<Position>,
     },
--- a/src/direct/log_events/kinds.rs
+++ b/src/direct/log_events/kinds.rs
@@ -26,9 +26,9 @@
             outcome: read.outcome,
             bytes: read.bytes,
             expected: read.expected,
-            again: read.again,
+            again: read.reconnected,
             waited_ms: ms(read.waited),
-            took_ms: ms(read.took),
+            took_ms: ms(read.transfer_time),
             decode_ms: ms(read.decoding),
         }
     }
--- a/src/direct/owner/admission.rs
+++ b/src/direct/owner/admission.rs
@@ -14,8 +14,8 @@
 use crate::direct::owner::timers::Timer;
 use crate::direct::peers::message::{Job, JobId, JobReason, JobStage, PeerMessage};
 use crate::direct::poison::suspects::RETENTION;
-use crate::direct::published::homes::Homes;
 use crate::direct::published::model::{BatchSpec, Name};
+use crate::direct::published::regions::AllowedRegions;
 use crate::direct::published::table::Table;
 use crate::message::Timestamp;
 use crate::policy::path::{PathDecision, PathRefusal, StageLoad, admit_path};
@@ -131,7 +131,7 @@
     fn load(
         &self,
         stage: &JobStage,
-        allowed_regions: &Homes,
+        allowed_regions: &AllowedRegions,
         call: Duration,
         taken: Arc<Timeline>,
         table: &Table,
@@ -146,7 +146,8 @@
             taken,
             wanted: (stage.pieces as u64 * stage.result_bytes) as f64,
         };
-        let (Some(spec), Some(pool)) = (table.batch(&stage.pool), self.ledger.get(&stage.pool))
+        let (Some(spec), Some(pool)) =
+            (table.batch_spec(&stage.pool), self.ledger.get(&stage.pool))
         else {
             return load;
         };
--- a/src/direct/owner/batching.rs
+++ b/src/direct/owner/batching.rs
@@ -47,7 +47,7 @@
 impl Scheduler {
     /// Fills calls to a pool's free endpoints with the most urgent pieces.
     pub(super) fn fill_calls(&mut self, pool: &Name, table: &Table, now: Timestamp) {
-        let Some(spec) = table.batch(pool) else {
+        let Some(spec) = table.batch_spec(pool) else {
             return;
         };
         loop {
@@ -191,7 +191,7 @@
         .preferred
         .as_ref()
         .and_then(|preferred| endpoints.most_free_in(preferred, piece.bytes));
-    let at_preferred = at_preferred.filter(|(_, endpoint)| piece.allowed_regions.have(endpoint));
+    let at_preferred = at_preferred.filter(|(_, endpoint)| piece.allowed_regions.allows(endpoint));
     if at_preferred.is_none() && piece.only_preferred {
         return None;
     }
@@ -231,7 +231,7 @@
         }
         let is_preferred =
             candidate.preferred.as_ref().is_none_or(|preferred| *preferred == to.data_centre);
-        if candidate.only_preferred && !is_preferred || !candidate.allowed_regions.have(to) {
+        if candidate.only_preferred && !is_preferred || !candidate.allowed_regions.allows(to) {
             continue;
         }
         let fit = free_bytes.checked_div(candidate.bytes).map_or(usize::MAX, |fit| fit as usize);
--- a/src/direct/owner/endpoints.rs
+++ b/src/direct/owner/endpoints.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-use crate::direct::published::homes::{Homes, region_of};
 use crate::direct::published::model::{Endpoint, Name};
+use crate::direct::published::regions::{AllowedRegions, region_of};
 
 /// State of one endpoint, as far as the choice of an endpoint depends on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -132,7 +132,7 @@
     }
 
     /// Number of endpoints in use in the allowed regions.
-    pub(super) fn count_in_regions(&self, allowed_regions: &Homes) -> usize {
+    pub(super) fn count_in_regions(&self, allowed_regions: &AllowedRegions) -> usize {
         self.in_regions(allowed_regions).map(|local| local.count).sum()
     }
 
@@ -142,17 +142,17 @@
     }
 
     /// Whether a data centre lies in the allowed regions; false if it has no endpoints in use.
-    pub(super) fn is_allowed(&self, data_centre: &str, allowed_regions: &Homes) -> bool {
+    pub(super) fn is_allowed(&self, data_centre: &str, allowed_regions: &AllowedRegions) -> bool {
         let local = self.in_use().by_data_centre.get(data_centre);
-        local.is_some_and(|local| allowed_regions.have_region(local.region.as_deref()))
+        local.is_some_and(|local| allowed_regions.allows_region(local.region.as_deref()))
     }
 
     fn in_regions<'a>(
         &'a self,
-        allowed_regions: &'a Homes,
+        allowed_regions: &'a AllowedRegions,
     ) -> impl Iterator<Item = &'a DataCentreEndpoints> {
         let locals = self.in_use().by_data_centre.values();
-        locals.filter(|local| allowed_regions.have_region(local.region.as_deref()))
+        locals.filter(|local| allowed_regions.allows_region(local.region.as_deref()))
     }
 
     /// Whether an endpoint in use is free in a data centre.
@@ -181,7 +181,7 @@
     /// that is at least `bytes`.
     pub(super) fn most_free_in_regions(
         &self,
-        allowed_regions: &Homes,
+        allowed_regions: &AllowedRegions,
         bytes: u64,
     ) -> Option<(u64, &Arc<Endpoint>)> {
         self.with_free_bytes(
--- a/src/direct/owner/inspect.rs
+++ b/src/direct/owner/inspect.rs
@@ -51,7 +51,8 @@
     pub fn pool_state(&mut self, pool: &str, table: &Table, now: Timestamp) -> Option<PoolState> {
         self.update_ledger(table, now);
         let pool = self.ledger.get_mut(pool)?;
-        let by_data_centre = table.deployment.pools.iter().flat_map(|p| table.members(&p.name));
+        let by_data_centre =
+            table.deployment.pools.iter().flat_map(|p| table.pool_endpoints(&p.name));
         let by_data_centre =
             by_data_centre.map(|e| (e.data_centre.clone(), pool.unfinished_in(&e.data_centre)));
         let data_centres = pool.endpoints.data_centres();
@@ -82,7 +83,7 @@
 
     /// Recent average wait for a call and duration of a call in a pool.
     pub fn recent_timings(&self, pool: &str, table: &Table) -> Option<(Duration, Duration)> {
-        let pool_timings: PoolTimings = self.timings.get(pool, table.batch(pool)?);
+        let pool_timings: PoolTimings = self.timings.get(pool, table.batch_spec(pool)?);
         Some((pool_timings.wait(), pool_timings.call()))
     }
 }
--- a/src/direct/owner/jobs.rs
+++ b/src/direct/owner/jobs.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::direct::owner::ledger::Entry;
-use crate::direct::peers::message::{Job, JobStage, Made};
+use crate::direct::peers::message::{Job, JobStage, StoredResult};
 use crate::direct::published::model::Name;
 use crate::direct::published::table::Table;
 use crate::message::Timestamp;
@@ -29,7 +29,7 @@
         attempts: u32,
     },
     /// The result was produced and is kept by an endpoint.
-    Produced(Made),
+    Produced(StoredResult),
     /// The result was used and is no longer kept.
     Freed,
 }
@@ -80,7 +80,7 @@
     }
 
     /// The results that are kept; one for each piece where the stage is done and nothing was freed.
-    pub fn results(&self) -> Vec<Made> {
+    pub fn results(&self) -> Vec<StoredResult> {
         let made = |p: &Piece| match p {
             Piece::Produced(made) => Some(made.clone()),
             _ => None,
@@ -255,7 +255,7 @@
 /// call can hold.
 pub(super) fn expected_calls(job: &Job, table: &Table) -> Vec<Duration> {
     let call = |stage: &JobStage| {
-        let spec = table.batch(&stage.pool)?;
+        let spec = table.batch_spec(&stage.pool)?;
         Some(spec.call + spec.piece * stage.pieces.min(spec.pieces) as u32)
     };
     job.stages.iter().map(|stage| call(stage).unwrap_or_default()).collect()
--- a/src/direct/owner/outcomes.rs
+++ b/src/direct/owner/outcomes.rs
@@ -9,7 +9,7 @@
 use crate::direct::owner::calls::{Call, PieceId, TAKEOVER_PERIOD};
 use crate::direct::owner::jobs::Piece;
 use crate::direct::owner::scheduler::Scheduler;
-use crate::direct::peers::message::{JobId, JobReason, Made};
+use crate::direct::peers::message::{JobId, JobReason, StoredResult};
 use crate::direct::poison::Unanswered;
 use crate::direct::published::model::Name;
 use crate::direct::published::table::Table;
@@ -39,7 +39,7 @@
         match outcome {
             BatchOutcome::Pieces(outcomes) => {
                 if call.sent >= self.resumed_at {
-                    if let Some(spec) = table.batch(&call.pool) {
+                    if let Some(spec) = table.batch_spec(&call.pool) {
                         self.timings.record_call(&call.pool, spec, took);
                     }
                     self.check_speed(&call, took, table, now);
@@ -89,7 +89,7 @@
         }
         let ratio = took.as_secs_f64() / call.expected.as_secs_f64().max(0.001);
         self.producers.succeeded(&call.endpoint.id, ratio);
-        let pool = table.members(&call.pool);
+        let pool = table.pool_endpoints(&call.pool);
         if self.producers.avoid_if_slow(&call.endpoint.id, &call.pool, pool, now) {
             let endpoint = call.endpoint.id.clone();
             let event = LogEvent::Suspicion { endpoint, avoided: true, cause: "slow" };
@@ -112,7 +112,7 @@
         for (&(piece, bytes), outcome) in call.pieces.iter().zip(outcomes) {
             let (job, stage, _) = piece;
             if let PieceOutcome::Made(handle) = outcome {
-                let made = Made { handle, endpoint: call.endpoint.id.clone() };
+                let made = StoredResult { handle, endpoint: call.endpoint.id.clone() };
                 self.piece_produced(piece, bytes, made, table);
                 continue;
             }
@@ -122,7 +122,7 @@
             }
             match outcome {
                 PieceOutcome::NoRoom => {
-                    let capacity = table.batch(&call.pool).map_or(0, |s| s.room_bytes);
+                    let capacity = table.batch_spec(&call.pool).map_or(0, |s| s.room_bytes);
                     let free_bytes = self.producers.free_bytes(&call.endpoint.id, capacity, now);
                     self.producers.no_result_memory(&call.endpoint.id, free_bytes, now);
                     no_memory = true;
@@ -148,7 +148,7 @@
         &mut self,
         (job, stage, piece): PieceId,
         bytes: u64,
-        made: Made,
+        made: StoredResult,
         table: &Table,
     ) {
         let slot = self.job_mut(job).map(|j| &mut j.stages[stage].pieces[piece]);
--- a/src/direct/owner/pauses.rs
+++ b/src/direct/owner/pauses.rs
@@ -33,8 +33,8 @@
         table: &Table,
         now: Timestamp,
     ) -> Option<Duration> {
-        table.batch(pool)?;
-        let members = table.members(pool).iter().filter(|e| !e.leaving);
+        table.batch_spec(pool)?;
+        let members = table.pool_endpoints(pool).iter().filter(|e| !e.leaving);
         let own = members.filter(|e| self.calls_endpoint(e, table));
         let until =
             own.map(|endpoint| self.backoffs.paused_until(endpoint, now).unwrap_or(now)).min()?;
--- a/src/direct/owner/permits.rs
+++ b/src/direct/owner/permits.rs
@@ -112,7 +112,7 @@
     fn needs_permit(&self, endpoint: &Arc<Endpoint>, table: &Table, now: Timestamp) -> bool {
         let id = &endpoint.id;
         let has_work = |pool: &Name| {
-            let is_free = table.batch(pool).is_some_and(|s| self.state_of(id, s, now).is_free);
+            let is_free = table.batch_spec(pool).is_some_and(|s| self.state_of(id, s, now).is_free);
             is_free && self.ledger.get(pool).is_some_and(|pool| !pool.queue.is_empty())
         };
         self.limits.rate(endpoint, now).is_some()
@@ -207,8 +207,8 @@
         table: &Table,
         now: Timestamp,
     ) -> Option<Duration> {
-        let spec = table.batch(pool)?;
-        let members = table.members(pool).iter().filter(|e| !e.leaving);
+        let spec = table.batch_spec(pool)?;
+        let members = table.pool_endpoints(pool).iter().filter(|e| !e.leaving);
         let own = members.filter(|e| self.calls_endpoint(e, table));
         let rates: Option<Vec<f64>> =
             own.map(|e| Some(self.limits.rate(e, now)?.as_per_second())).collect();
--- a/src/direct/owner/plan.rs
+++ b/src/direct/owner/plan.rs
@@ -47,7 +47,7 @@
     let mut runs: Vec<ExpectedRun> = Vec::with_capacity(run.stages.len());
     for (spec, stage) in run.job.stages.iter().zip(&run.stages) {
         let ready = spec.after.iter().map(|&a| runs[a].end).max().unwrap_or_default();
-        let batch = context.table.batch(&spec.pool).filter(|_| !stage.is_done());
+        let batch = context.table.batch_spec(&spec.pool).filter(|_| !stage.is_done());
         let Some(batch) = batch else {
             runs.push(ExpectedRun { start: Duration::ZERO, end: ready });
             continue;
--- a/src/direct/owner/queue.rs
+++ b/src/direct/owner/queue.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 
 use crate::direct::peers::message::JobId;
-use crate::direct::published::homes::Homes;
 use crate::direct::published::model::Name;
+use crate::direct::published::regions::AllowedRegions;
 
 /// Position of a stage in the order of urgency.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -33,7 +33,7 @@
     /// matter.
     pub(super) preferred: Option<Name>,
     /// Regions in which the pieces may run.
-    pub(super) allowed_regions: Homes,
+    pub(super) allowed_regions: AllowedRegions,
 }
 
 /// Pieces that may go into the next call.
@@ -46,7 +46,7 @@
     pub(super) bytes: u64,
     pub(super) preferred: Option<Name>,
     /// Regions in which the pieces may run.
-    pub(super) allowed_regions: Homes,
+    pub(super) allowed_regions: AllowedRegions,
     /// Whether the pieces accept only endpoints in the preferred data centre for now.
     pub(super) only_preferred: bool,
 }
@@ -73,7 +73,7 @@
 struct Queued {
     pieces: usize,
     bytes: u64,
-    allowed_regions: Homes,
+    allowed_regions: AllowedRegions,
 }
 
 /// Stages with the same preferred data centre.
--- a/src/direct/owner/scheduler.rs
+++ b/src/direct/owner/scheduler.rs
@@ -27,7 +27,7 @@
 use crate::direct::owner::producers::{Producers, Usage};
 use crate::direct::owner::timers::{Timer, Timers};
 use crate::direct::owner::timings::Timings;
-use crate::direct::peers::message::{Handle, JobId, JobReason, Made, PeerMessage};
+use crate::direct::peers::message::{Handle, JobId, JobReason, PeerMessage, StoredResult};
 use crate::direct::poison::suspects::Suspects;
 use crate::direct::published::model::{BatchSpec, Endpoint, Name};
 use crate::direct::published::table::Table;
@@ -131,7 +131,7 @@
     /// Whether this scheduler calls an endpoint.
     pub(super) fn calls_endpoint(&self, endpoint: &Endpoint, table: &Table) -> bool {
         let cell = self.cell.as_ref();
-        cell.is_none_or(|cell| table.cells().has(cell, &endpoint.data_centre))
+        cell.is_none_or(|cell| table.cells().contains(cell, &endpoint.data_centre))
     }
 
     /// Whether a call was sent by this scheduler and has not ended.
@@ -207,8 +207,8 @@
             return;
         }
         self.reports_asked_at = Some(now);
-        let pools = table.deployment.pools.iter().filter(|p| table.batch(&p.name).is_some());
-        let endpoints = pools.flat_map(|p| table.members(&p.name)).filter(|e| !e.leaving);
+        let pools = table.deployment.pools.iter().filter(|p| table.batch_spec(&p.name).is_some());
+        let endpoints = pools.flat_map(|p| table.pool_endpoints(&p.name)).filter(|e| !e.leaving);
         let endpoints = endpoints.filter(|e| self.backoffs.paused_until(e, now).is_none());
         let endpoints = endpoints.filter(|e| self.limits.rate(e, now).is_none());
         let endpoints: Vec<_> = endpoints.filter(|e| self.calls_endpoint(e, table)).collect();
@@ -224,7 +224,7 @@
         now: Timestamp,
     ) {
         let is_called = table.endpoint(endpoint).is_some_and(|e| self.calls_endpoint(e, table));
-        let Some(spec) = table.batch_of(endpoint).filter(|_| is_called) else {
+        let Some(spec) = table.batch_spec_of(endpoint).filter(|_| is_called) else {
             return;
         };
         let listed = table.endpoint(endpoint).map_or(0, |e| e.incarnation);
@@ -363,8 +363,8 @@
         self.is_listed = true;
         self.ledger.clear_endpoints();
         let pools = table.deployment.pools.iter().map(|pool| &pool.name);
-        for pool in pools.filter(|pool| table.batch(pool).is_some()) {
-            for endpoint in table.members(pool) {
+        for pool in pools.filter(|pool| table.batch_spec(pool).is_some()) {
+            for endpoint in table.pool_endpoints(pool) {
                 self.list_endpoint(pool, &endpoint.id, table, now);
             }
         }
@@ -375,7 +375,7 @@
     }
 
     fn list_endpoint(&mut self, pool: &Name, id: &Name, table: &Table, now: Timestamp) {
-        let (Some(spec), Some(endpoint)) = (table.batch(pool), table.endpoint(id)) else {
+        let (Some(spec), Some(endpoint)) = (table.batch_spec(pool), table.endpoint(id)) else {
             return;
         };
         if endpoint.leaving || !self.calls_endpoint(endpoint, table) {
@@ -444,14 +444,14 @@
         untouched: bool,
         retry_after: Duration,
     ) {
-        self.send_to_gateway(job, PeerMessage::GivenUp { job, reason, untouched, retry_after });
+        self.send_to_gateway(job, PeerMessage::Cancelled { job, reason, untouched, retry_after });
     }
 
     pub(super) fn send_to_gateway(&mut self, job: JobId, message: PeerMessage) {
         self.out.push(Action::Send { to: job.gateway, message });
     }
 
-    pub(super) fn free_result(&mut self, made: &Made, bytes: u64, table: &Table) {
+    pub(super) fn free_result(&mut self, made: &StoredResult, bytes: u64, table: &Table) {
         self.producers.freed(&made.endpoint, bytes);
         if let Some(endpoint) = table.endpoint(&made.endpoint) {
             let entry = self.to_free.entry(made.endpoint.clone());
--- a/src/direct/peer_messages.rs
+++ b/src/direct/peer_messages.rs
@@ -9,8 +9,8 @@
 use crate::direct::limits::known::AnnouncedLimit;
 use crate::direct::limits::limiter::Asker;
 use crate::direct::log_events::LogEvent;
-use crate::direct::peers::build::{Build, Greeted};
-use crate::direct::peers::codec::Unread;
+use crate::direct::peers::build::{Build, GreetingChange};
+use crate::direct::peers::codec::Unreadable;
 use crate::direct::peers::message::{Job, JobId, JobReason, PeerMessage};
 use crate::direct::published::documents::Seen;
 use crate::direct::published::position::Position;
@@ -50,19 +50,19 @@
             } => {
                 self.observe_peer_era(from, era);
                 self.peer_answered(from, complete);
-                let seen = Seen { endpoints: self.eras.adopt(seen.endpoints), ..seen };
+                let seen = Seen { endpoints: self.eras.resolve(seen.endpoints), ..seen };
                 self.evacuations_received(from, &evacuations, now);
                 self.departures_received(from, departures, now);
                 self.limits_received(from, &limits, now);
                 self.owners.usage_announced(from, usage, &self.table);
                 self.requests.told_lateness(from, late, now);
-                let changes = self.members.hear(&members, now);
-                for member in changes.ended {
+                let changes = self.members.merge(&members, now);
+                for member in changes.replaced {
                     self.peer_down(member.address, member.incarnation, "restarted", now);
                 }
                 // A gateway that starts receives the members at once, not with the next heartbeat.
-                let is_new_peer = changes.alive.iter().any(|m| m.address == from);
-                for member in changes.alive {
+                let is_new_peer = changes.joined.iter().any(|m| m.address == from);
+                for member in changes.joined {
                     self.log(LogEvent::Peer {
                         address: member.address,
                         incarnation: member.incarnation,
@@ -75,13 +75,13 @@
                     let message = self.gossip(self.all_departures(), self.limits.newest(now), now);
                     self.send(from, message);
                 }
-                self.pulls.told(from, seen, complete, self.pull_state(), now);
+                self.pulls.on_announcement(from, seen, complete, self.pull_state(), now);
             }
             PeerMessage::Pull { seen, configuration, number } => {
                 self.on_pull(from, seen, configuration.then_some(number));
             }
             PeerMessage::Configuration { revision, deployment, era, .. } => {
-                let position = self.eras.adopt(Position::new(era, revision));
+                let position = self.eras.resolve(Position::new(era, revision));
                 self.on_configuration(from, position, deployment, now);
             }
             PeerMessage::NoConfiguration => self.pull_failed(from, 0, "refused", now),
@@ -105,10 +105,10 @@
                 let asker = Asker { gateway: from, number };
                 self.permit_requested(asker, &limit, priority, wait, now);
             }
-            PeerMessage::Permit { number, given, retry_after } => {
-                self.permit_decided(from, number, given, retry_after, now);
+            PeerMessage::Permit { number, granted, retry_after } => {
+                self.permit_decided(from, number, granted, retry_after, now);
             }
-            PeerMessage::GivenUp { job, reason, untouched, retry_after } => {
+            PeerMessage::Cancelled { job, reason, untouched, retry_after } => {
                 let given_up = GivenUp { reason, untouched, retry_after };
                 self.requests.given_up(job, from, given_up, &self.table, now);
             }
@@ -126,8 +126,8 @@
 
     pub(super) fn on_unreachable(&mut self, address: SocketAddr, now: Timestamp) {
         self.unanswered_peers.remove(&address);
-        if let Some(incarnation) = self.members.life(address)
-            && self.members.broke(address, incarnation, now)
+        if let Some(incarnation) = self.members.incarnation_of(address)
+            && self.members.mark_unreachable(address, incarnation, now)
         {
             self.peer_down(address, incarnation, "unreachable", now);
         }
@@ -141,10 +141,10 @@
         now: Timestamp,
     ) {
         self.log(LogEvent::Peer { address, incarnation, alive: false, cause });
-        if let Some((life, build)) = self.builds.lost(address) {
+        if let Some((life, build)) = self.builds.remove(address) {
             self.log_build(address, life, &build, "last");
         }
-        self.pulls.lost(address);
+        self.pulls.remove_peer(address);
         self.owners.release_jobs_of(address, incarnation, &self.table);
         self.owners.owner_removed(address, now);
         self.requests.owner_lost(address, incarnation);
@@ -153,10 +153,12 @@
 
     /// Handles a peer's greeting, which names its build.
     pub(super) fn on_greeting(&mut self, address: SocketAddr, incarnation: u64, build: &Build) {
-        match self.builds.greeted(address, incarnation, build) {
-            Greeted::AsBefore => {}
-            Greeted::Other => self.log_build(address, incarnation, build, "first"),
-            Greeted::Own(before) => self.log_build(address, incarnation, &before, "last"),
+        match self.builds.on_greeting(address, incarnation, build) {
+            GreetingChange::Unchanged => {}
+            GreetingChange::OtherBuild => self.log_build(address, incarnation, build, "first"),
+            GreetingChange::OwnBuild(before) => {
+                self.log_build(address, incarnation, &before, "last")
+            }
         }
     }
 
@@ -167,7 +169,7 @@
         build: &Build,
         heard: &'static str,
     ) {
-        crate::metrics::peers_of_other_builds(self.builds.others());
+        crate::metrics::peers_of_other_builds(self.builds.other_count());
         let Build { version, commit, form } = build.clone();
         self.log(LogEvent::PeerBuild { address, incarnation, version, commit, form, heard });
     }
@@ -179,16 +181,16 @@
         &mut self,
         from: SocketAddr,
         announced_form: u32,
-        unread: Unread,
+        unread: Unreadable,
     ) {
         let (form, cause) = match unread {
-            Unread::Form(form) => (form, "unknown form"),
-            Unread::Message { .. } => (announced_form, "unknown message"),
+            Unreadable::Form(form) => (form, "unknown form"),
+            Unreadable::Message { .. } => (announced_form, "unknown message"),
         };
-        if self.builds.unread(from, form) {
+        if self.builds.report_unreadable(from, form) {
             self.log(LogEvent::PeerUnread { address: from, form, cause });
         }
-        if let Unread::Message { job: Some(job) } = unread {
+        if let Unreadable::Message { job: Some(job) } = unread {
             self.refuse_job(job, from);
         }
     }
@@ -196,7 +198,7 @@
     /// Refuses a job, so that its gateway submits it elsewhere.
     fn refuse_job(&mut self, job: JobId, to: SocketAddr) {
         let (reason, untouched, retry_after) = (JobReason::NotOwner, true, Duration::ZERO);
-        self.send(to, PeerMessage::GivenUp { job, reason, untouched, retry_after });
+        self.send(to, PeerMessage::Cancelled { job, reason, untouched, retry_after });
     }
 
     fn gossip(
@@ -219,7 +221,7 @@
     }
 
     pub(super) fn send_heartbeat(&mut self, now: Timestamp) {
-        let to = self.members.beat(&mut self.rng);
+        let to = self.members.next_heartbeat(&mut self.rng);
         let departures = self.departure_updates(now);
         let limits = self.limit_updates(now);
         let message = self.gossip(departures, limits, now);
--- a/src/direct/peers/build.rs
+++ b/src/direct/peers/build.rs
@@ -46,49 +46,57 @@
 pub struct Builds {
     others: BTreeMap<SocketAddr, (u64, Build)>,
     /// Peers and message forms whose unreadable messages have been logged.
-    unread: BTreeSet<(SocketAddr, u32)>,
+    reported_unreadable: BTreeSet<(SocketAddr, u32)>,
 }
 
 /// The change caused by a peer's greeting.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Greeted {
+pub enum GreetingChange {
     /// No change.
-    AsBefore,
+    Unchanged,
     /// The peer is newly known to run another build.
-    Other,
+    OtherBuild,
     /// The peer ran the contained build before and now runs the same build as this gateway.
-    Own(Build),
+    OwnBuild(Build),
 }
 
 impl Builds {
     /// Records the build in a peer's greeting.
-    pub fn greeted(&mut self, address: SocketAddr, incarnation: u64, build: &Build) -> Greeted {
+    pub fn on_greeting(
+        &mut self,
+        address: SocketAddr,
+        incarnation: u64,
+        build: &Build,
+    ) -> GreetingChange {
         let before = self.others.get(&address);
         if *build == Build::own() {
-            return self.lost(address).map_or(Greeted::AsBefore, |(_, build)| Greeted::Own(build));
+            return self
+                .remove(address)
+                .map_or(GreetingChange::Unchanged, |(_, build)| GreetingChange::OwnBuild(build));
         }
         if before.is_some_and(|(known_incarnation, known)| {
             *known_incarnation == incarnation && known == build
         }) {
-            return Greeted::AsBefore;
+            return GreetingChange::Unchanged;
         }
         if self.others.len() >= MAX_OTHER_BUILDS && before.is_none() {
-            return Greeted::AsBefore;
+            return GreetingChange::Unchanged;
         }
         self.others.insert(address, (incarnation, build.clone()));
-        self.unread.retain(|(peer, _)| *peer != address);
-        Greeted::Other
+        self.reported_unreadable.retain(|(peer, _)| *peer != address);
+        GreetingChange::OtherBuild
     }
 
     /// Removes a peer; returns its incarnation and build if it ran another build.
-    pub fn lost(&mut self, address: SocketAddr) -> Option<(u64, Build)> {
-        self.unread.retain(|(peer, _)| *peer != address);
+    pub fn remove(&mut self, address: SocketAddr) -> Option<(u64, Build)> {
+        self.reported_unreadable.retain(|(peer, _)| *peer != address);
         self.others.remove(&address)
     }
 
     /// Records an unreadable message form of a peer; returns whether it is to be logged.
-    pub fn unread(&mut self, address: SocketAddr, form: u32) -> bool {
-        self.unread.len() < MAX_OTHER_BUILDS && self.unread.insert((address, form))
+    pub fn report_unreadable(&mut self, address: SocketAddr, form: u32) -> bool {
+        self.reported_unreadable.len() < MAX_OTHER_BUILDS
+            && self.reported_unreadable.insert((address, form))
     }
 
     /// Whether a peer exchanges permits, which builds before [`PERMITS_SINCE`] don't. A peer that
@@ -98,7 +106,7 @@
     }
 
     /// Number of peers that run another build.
-    pub fn others(&self) -> usize {
+    pub fn other_count(&self) -> usize {
         self.others.len()
     }
 }
--- a/src/direct/peers/codec.rs
+++ b/src/direct/peers/codec.rs
@@ -43,7 +43,7 @@
 
     /// Returns the encoding for a peer that reads `form`; JSON if the form is another one or
     /// unknown.
-    pub fn for_reader(&self, form: Option<u32>) -> Bytes {
+    pub fn encode_for(&self, form: Option<u32>) -> Bytes {
         let bytes = if form == Some(FORM) {
             self.compact.get_or_init(|| compact(&self.message))
         } else {
@@ -69,7 +69,7 @@
 
 /// The reason for which a frame could not be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unread {
+pub enum Unreadable {
     /// The frame is in a compact form that this build does not know.
     Form(u32),
     /// The form is known and the content is not: a message of a newer build.
@@ -91,30 +91,30 @@
 }
 
 /// Decodes a frame of a peer whose greeting on this connection named the form `greeted_form`.
-pub fn read(frame: &[u8], greeted_form: u32) -> Result<PeerMessage, Unread> {
+pub fn read(frame: &[u8], greeted_form: u32) -> Result<PeerMessage, Unreadable> {
     let message = match frame {
         [first, ..] if JSON_FIRST_BYTES.contains(first) => {
-            serde_json::from_slice(frame).map_err(|_| unread_json(frame))?
+            serde_json::from_slice(frame).map_err(|_| unreadable_json(frame))?
         }
         [FORM_MARKER, form, rest @ ..] => read_compact(u32::from(*form), rest)?,
         // Builds before `FIRST_MARKED_FORM` wrote the form that they read.
         frame if greeted_form < FIRST_MARKED_FORM => read_compact(greeted_form, frame)?,
-        _ => return Err(Unread::Message { job: None }),
+        _ => return Err(Unreadable::Message { job: None }),
     };
     crate::metrics::peer_bytes("in", message.kind(), frame.len());
     Ok(message)
 }
 
-fn read_compact(form: u32, message: &[u8]) -> Result<PeerMessage, Unread> {
+fn read_compact(form: u32, message: &[u8]) -> Result<PeerMessage, Unreadable> {
     let read = match form {
         FORM => postcard::from_bytes(message).ok(),
         form if without_eras::FORMS.contains(&form) => without_eras::read(form, message),
-        _ => return Err(Unread::Form(form)),
+        _ => return Err(Unreadable::Form(form)),
     };
-    read.ok_or(Unread::Message { job: None })
+    read.ok_or(Unreadable::Message { job: None })
 }
 
-fn unread_json(frame: &[u8]) -> Unread {
+fn unreadable_json(frame: &[u8]) -> Unreadable {
     let job = serde_json::from_slice(frame).ok().map(|SubmitOnly::Submit(job)| job.id);
-    Unread::Message { job }
+    Unreadable::Message { job }
 }
--- a/src/direct/peers/links.rs
+++ b/src/direct/peers/links.rs
@@ -25,7 +25,7 @@
 use crate::direct::event::Event;
 use crate::direct::peers::build::Build;
 use crate::direct::peers::bulk::{BulkReceiver, BulkSender};
-use crate::direct::peers::codec::{FORM, Outgoing, Unread, json, read};
+use crate::direct::peers::codec::{FORM, Outgoing, Unreadable, json, read};
 use crate::direct::peers::message::PeerMessage;
 use crate::direct::published::position::Position;
 
@@ -68,7 +68,8 @@
     /// until it arrives. Builds without this field treat any data in the reverse direction as the
     /// connection's end.
     #[serde(default)]
-    pub answers: bool,
+    #[serde(rename = "answers")]
+    pub awaits_greeting: bool,
     /// The sender's build.
     #[serde(default)]
     pub build: Build,
@@ -85,13 +86,13 @@
             bytes: None,
             compact: false,
             form: FORM,
-            answers: true,
+            awaits_greeting: true,
             build: Build::own(),
         }
     }
 
     /// The event that reports this greeting to the core.
-    fn greeted(&self) -> Event {
+    fn greeting_event(&self) -> Event {
         let (address, incarnation) = (self.address, self.incarnation);
         let build = Build { form: self.form, ..self.build.clone() };
         Event::PeerGreeted { address, incarnation, build }
@@ -108,18 +109,18 @@
 type Queues = Arc<Mutex<HashMap<SocketAddr, Link>>>;
 
 /// The connections to other gateways.
-pub struct Peers {
+pub struct PeerLinks {
     hello: Hello,
     core: Handle<GatewayCore>,
     queues: Queues,
     bulk: BulkSender,
 }
 
-impl Peers {
+impl PeerLinks {
     /// Creates the set of connections, which is empty at first.
     pub fn new(own: SocketAddr, incarnation: u64, core: Handle<GatewayCore>) -> Self {
         let hello = Hello::new(own, incarnation);
-        let bulk = BulkSender::new(Hello { answers: false, ..hello.clone() });
+        let bulk = BulkSender::new(Hello { awaits_greeting: false, ..hello.clone() });
         Self { hello, core, queues: Queues::default(), bulk }
     }
 
@@ -129,20 +130,20 @@
     }
 
     /// Queues a message for a peer; connects to the peer if there is no connection.
-    pub fn tell(&self, to: SocketAddr, message: PeerMessage) {
+    pub fn send(&self, to: SocketAddr, message: PeerMessage) {
         match message {
             PeerMessage::Configuration { revision, ref deployment, pull, era } => {
                 let key = (Position::new(era, revision), deployment.version);
                 if !self.bulk.send(to, pull, key, &message) {
-                    self.spread(&[to], PeerMessage::NoConfiguration);
+                    self.broadcast(&[to], PeerMessage::NoConfiguration);
                 }
             }
-            message => self.spread(&[to], message),
+            message => self.broadcast(&[to], message),
         }
     }
 
     /// Queues one message for several peers; it is encoded once.
-    pub fn spread(&self, to: &[SocketAddr], message: PeerMessage) {
+    pub fn broadcast(&self, to: &[SocketAddr], message: PeerMessage) {
         let outgoing = Arc::new(Outgoing::new(message));
         for &to in to {
             self.queue(to, outgoing.clone());
@@ -226,11 +227,11 @@
         tokio::select! {
             message = queue.recv() => {
                 let Some(message) = message else { return };
-                if connection.feed(message.for_reader(form)).await.is_err() {
+                if connection.feed(message.encode_for(form)).await.is_err() {
                     return;
                 }
                 while let Ok(message) = queue.try_recv() {
-                    if connection.feed(message.for_reader(form)).await.is_err() {
+                    if connection.feed(message.encode_for(form)).await.is_err() {
                         return;
                     }
                 }
@@ -245,7 +246,7 @@
                 let greeting = greeting.and_then(|a| serde_json::from_slice::<Hello>(&a).ok());
                 let Some(greeting) = greeting else { return };
                 form = Some(greeting.form);
-                core.send(greeting.greeted()).await.ok();
+                core.send(greeting.greeting_event()).await.ok();
             }
         }
     }
@@ -283,8 +284,8 @@
         bulk_receiver.start(connection, hello, core);
         return;
     }
-    core.send(hello.greeted()).await.ok();
-    let is_answered = !hello.answers || connection.send(greeting).await.is_ok();
+    core.send(hello.greeting_event()).await.ok();
+    let is_answered = !hello.awaits_greeting || connection.send(greeting).await.is_ok();
     let (address, incarnation) = (hello.address, hello.incarnation);
     if is_answered && receive_all(connection, &hello, &core).await.is_err() {
         return;
@@ -312,7 +313,7 @@
                     unread,
                 })
                 .await?;
-                if matches!(unread, Unread::Form(_)) {
+                if matches!(unread, Unreadable::Form(_)) {
                     return Ok(());
                 }
             }
--- a/src/direct/peers/members.rs
+++ b/src/direct/peers/members.rs
@@ -18,7 +18,7 @@
 use crate::message::Timestamp;
 
 /// Time between two heartbeats of a process.
-pub const HEARTBEAT: Duration = Duration::from_millis(200);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// Time without a new heartbeat after which a member is considered down.
 const FAILURE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Time without a new heartbeat after which a member whose connection failed is considered down.
@@ -34,7 +34,7 @@
 /// Delay before a gateway takes over a duty from a member that is down, or from one that is newly
 /// up. Others may consider that member up until they, too, have missed its heartbeats for
 /// [`FAILURE_TIMEOUT`] and have received this from their peers.
-pub const SETTLED: Duration = Duration::from_millis(1_000);
+pub const SETTLE_TIME: Duration = Duration::from_millis(1_000);
 /// Number of members that receive each heartbeat.
 const FANOUT: usize = 8;
 
@@ -76,21 +76,21 @@
 struct KnownMember {
     member: Member,
     /// Time at which its heartbeat last increased; `None` while the member is considered down.
-    heard: Option<Timestamp>,
+    last_heartbeat: Option<Timestamp>,
     since: Timestamp,
     /// Time since which the member is in its state, within its incarnation.
     state_since: Timestamp,
     /// Time since which the member is considered up, within its incarnation.
-    alive_since: Timestamp,
+    up_since: Timestamp,
 }
 
 /// Changes found in received gossip.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct MembershipChanges {
     /// Members that were unknown or considered down.
-    pub alive: Vec<Member>,
+    pub joined: Vec<Member>,
     /// Incarnations that were considered up and whose members have restarted.
-    pub ended: Vec<Member>,
+    pub replaced: Vec<Member>,
 }
 
 impl KnownMember {
@@ -100,7 +100,7 @@
         if self.member.incarnation == received.incarnation {
             return self.member.heartbeat < received.heartbeat;
         }
-        self.heard.is_none() || self.member.incarnation < received.incarnation
+        self.last_heartbeat.is_none() || self.member.incarnation < received.incarnation
     }
 }
 
@@ -204,73 +204,79 @@
     }
 
     /// Increases the heartbeat and returns the addresses to send it to.
-    pub fn beat(&mut self, rng: &mut impl Rng) -> Vec<SocketAddr> {
+    pub fn next_heartbeat(&mut self, rng: &mut impl Rng) -> Vec<SocketAddr> {
         self.own.heartbeat += 1;
-        let alive: Vec<SocketAddr> = self.alive().map(|m| m.address).collect();
+        let up: Vec<SocketAddr> = self.up().map(|m| m.address).collect();
         let seeds = self.seeds.iter().copied().filter(|s| *s != self.own.address);
         let mut unreachable: Vec<SocketAddr> = seeds.chain(self.down()).collect();
-        unreachable.retain(|a| !alive.contains(a));
+        unreachable.retain(|a| !up.contains(a));
         // While no other member is up, several seeds are contacted; the first response introduces
         // the others.
-        if alive.is_empty() {
+        if up.is_empty() {
             return unreachable.sample(rng, FANOUT).copied().collect();
         }
-        let mut to: Vec<SocketAddr> = alive.sample(rng, FANOUT).copied().collect();
+        let mut to: Vec<SocketAddr> = up.sample(rng, FANOUT).copied().collect();
         to.extend(unreachable.choose(rng));
         to
     }
 
     /// Returns the members to gossip: all that are considered up, and this process.
     pub fn digest(&self) -> Vec<Member> {
-        let mut members: Vec<Member> = self.alive().cloned().collect();
+        let mut members: Vec<Member> = self.up().cloned().collect();
         members.push(self.own.clone());
         members
     }
 
     /// Merges received gossip; returns the members that are newly up, and the incarnations that
     /// were replaced before they were considered down.
-    pub fn hear(&mut self, members: &[Member], now: Timestamp) -> Heard {
-        let mut heard = Heard::default();
+    pub fn merge(&mut self, members: &[Member], now: Timestamp) -> MembershipChanges {
+        let mut merged = MembershipChanges::default();
         for member in members.iter().filter(|m| m.address != self.own.address) {
             let known = self.others.get(&member.address);
             if known.is_some_and(|k| !k.is_superseded_by(member)) {
                 continue;
             }
-            let was_alive = known
-                .is_some_and(|k| k.heard.is_some() && k.member.incarnation == member.incarnation);
-            if !was_alive {
-                heard.alive.push(member.clone());
-                let before = known.filter(|k| k.heard.is_some()).map(|k| k.member.clone());
-                heard.ended.extend(before);
+            let was_up = known.is_some_and(|k| {
+                k.last_heartbeat.is_some() && k.member.incarnation == member.incarnation
+            });
+            if !was_up {
+                merged.joined.push(member.clone());
+                let before = known.filter(|k| k.last_heartbeat.is_some()).map(|k| k.member.clone());
+                merged.replaced.extend(before);
             }
             let is_same = |k: &&KnownMember| {
                 k.member.incarnation == member.incarnation && k.member.state == member.state
             };
             let state_since = known.filter(is_same).map_or(now, |k| k.state_since);
-            let alive_since = known.filter(|_| was_alive).map_or(now, |k| k.alive_since);
+            let up_since = known.filter(|_| was_up).map_or(now, |k| k.up_since);
             self.partitioned.remove(&member.address);
-            let is_as_before = was_alive
+            let is_as_before = was_up
                 && known.is_some_and(|k| {
                     k.member.state == member.state && k.member.capacity == member.capacity
                 });
             self.changes += u64::from(!is_as_before);
             self.suspected.remove(&member.address);
             let member = member.clone();
-            let known =
-                KnownMember { member, heard: Some(now), since: now, state_since, alive_since };
+            let known = KnownMember {
+                member,
+                last_heartbeat: Some(now),
+                since: now,
+                state_since,
+                up_since,
+            };
             self.others.insert(known.member.address, known);
         }
-        heard
+        merged
     }
 
     /// Suspects an incarnation of a member after a connection from it failed; it may be up, since
     /// connections also get reset. Returns whether it was considered up.
     pub fn suspect(&mut self, address: SocketAddr, incarnation: u64, now: Timestamp) -> bool {
-        let is_alive = self.is_alive(address, incarnation) && address != self.own.address;
-        if is_alive {
+        let is_up = self.is_up(address, incarnation) && address != self.own.address;
+        if is_up {
             self.suspected.entry(address).or_insert(now);
         }
-        is_alive
+        is_up
     }
 
     /// Time at which [`Self::expire`] is due for a suspected member.
@@ -280,14 +286,19 @@
 
     /// Marks an incarnation of a member as down, since it is unreachable, until it is heard from
     /// again; returns whether it was considered up.
-    pub fn broke(&mut self, address: SocketAddr, incarnation: u64, now: Timestamp) -> bool {
+    pub fn mark_unreachable(
+        &mut self,
+        address: SocketAddr,
+        incarnation: u64,
+        now: Timestamp,
+    ) -> bool {
         let Some(known) = self.others.get_mut(&address) else {
             return false;
         };
-        if known.member.incarnation != incarnation || known.heard.is_none() {
+        if known.member.incarnation != incarnation || known.last_heartbeat.is_none() {
             return false;
         }
-        known.heard = None;
+        known.last_heartbeat = None;
         known.since = now;
         self.suspected.remove(&address);
         self.changes += 1;
@@ -305,10 +316,10 @@
         let mut failed = Vec::new();
         for known in self.others.values_mut() {
             let suspected = self.suspected.get(&known.member.address);
-            let is_timed_out = known.heard.is_some_and(|h| now >= h + FAILURE_TIMEOUT);
+            let is_timed_out = known.last_heartbeat.is_some_and(|h| now >= h + FAILURE_TIMEOUT);
             let is_suspected = suspected.is_some_and(|s| now >= *s + SUSPICION_TIMEOUT);
-            if known.heard.is_some() && (is_timed_out || is_suspected) {
-                known.heard = None;
+            if known.last_heartbeat.is_some() && (is_timed_out || is_suspected) {
+                known.last_heartbeat = None;
                 known.since = now;
                 failed.push(known.member.clone());
             }
@@ -321,7 +332,7 @@
         let next = self
             .others
             .values()
-            .map(|k| k.heard.map_or(k.since + FORGET_AFTER, |h| h + FAILURE_TIMEOUT));
+            .map(|k| k.last_heartbeat.map_or(k.since + FORGET_AFTER, |h| h + FAILURE_TIMEOUT));
         // A member that is first heard from after this scan times out later than that.
         self.next_timeout = next.chain([now + FAILURE_TIMEOUT]).min().unwrap_or_default();
         failed
@@ -330,8 +341,9 @@
     /// Forgets members that have been down for a long time.
     fn forget(&mut self, now: Timestamp) {
         self.partitioned.retain(|_, forgotten| now < *forgotten + PARTITION_RETENTION);
-        let is_forgettable =
-            |known: &KnownMember| known.heard.is_none() && now >= known.since + FORGET_AFTER;
+        let is_forgettable = |known: &KnownMember| {
+            known.last_heartbeat.is_none() && now >= known.since + FORGET_AFTER
+        };
         for (address, known) in self.others.extract_if(.., |_, known| is_forgettable(known)) {
             if known.member.state != MemberState::Leaving
                 && self.partitioned.len() < MAX_PARTITIONED
@@ -344,46 +356,48 @@
     /// This process was suspended for the given time, until now, and received nothing; that does
     /// not mean that the others are down. Their timeouts are extended by the time of the
     /// suspension.
-    pub fn on_suspension(&mut self, for_so_long: Duration, now: Timestamp) {
-        for heard in self.others.values_mut().filter_map(|known| known.heard.as_mut()) {
-            *heard = (*heard + for_so_long).min(now);
+    pub fn on_suspension(&mut self, suspended_for: Duration, now: Timestamp) {
+        for last_heartbeat in
+            self.others.values_mut().filter_map(|known| known.last_heartbeat.as_mut())
+        {
+            *last_heartbeat = (*last_heartbeat + suspended_for).min(now);
         }
         for suspected in self.suspected.values_mut() {
-            *suspected = (*suspected + for_so_long).min(now);
+            *suspected = (*suspected + suspended_for).min(now);
         }
     }
 
     /// The other members that are considered up.
-    pub fn alive(&self) -> impl Iterator<Item = &Member> {
-        self.others.values().filter(|k| k.heard.is_some()).map(|k| &k.member)
+    pub fn up(&self) -> impl Iterator<Item = &Member> {
+        self.others.values().filter(|k| k.last_heartbeat.is_some()).map(|k| &k.member)
     }
 
     fn down(&self) -> impl Iterator<Item = SocketAddr> + '_ {
-        self.others.iter().filter(|(_, k)| k.heard.is_none()).map(|(a, _)| *a)
+        self.others.iter().filter(|(_, k)| k.last_heartbeat.is_none()).map(|(a, _)| *a)
     }
 
     /// Capacity class of a member's host; 0 if the member is unknown.
-    pub fn strength(&self, address: SocketAddr) -> u32 {
+    pub fn capacity_class_of(&self, address: SocketAddr) -> u32 {
         self.others.get(&address).map_or(0, |k| k.member.capacity_class())
     }
 
     /// Whether an incarnation of a member is considered up.
-    pub fn is_alive(&self, address: SocketAddr, incarnation: u64) -> bool {
+    pub fn is_up(&self, address: SocketAddr, incarnation: u64) -> bool {
         if address == self.own.address {
             return incarnation == self.own.incarnation;
         }
-        self.life(address) == Some(incarnation)
+        self.incarnation_of(address) == Some(incarnation)
     }
 
     /// Returns the incarnation of another member that is considered up.
-    pub fn life(&self, address: SocketAddr) -> Option<u64> {
-        let known = self.others.get(&address).filter(|k| k.heard.is_some())?;
+    pub fn incarnation_of(&self, address: SocketAddr) -> Option<u64> {
+        let known = self.others.get(&address).filter(|k| k.last_heartbeat.is_some())?;
         Some(known.member.incarnation)
     }
 
     /// Number of members that are known to exist, including this process and members that are down:
     /// this process's share of a common budget must not grow because others are unreachable.
-    pub fn known(&self) -> usize {
+    pub fn known_count(&self) -> usize {
         1 + self.others.len().max(self.seeds.len().saturating_sub(1))
     }
 
@@ -401,17 +415,17 @@
         let seed = xxh3_64(key.as_bytes());
         let weight = |m: &Member| xxh3_64_with_seed(&address_bytes(m.address), seed);
         let rank = |m: &Member| (m.state == MemberState::Serving, weight(m));
-        let alive = self.alive().filter(|m| able(m)).chain([&self.own]);
-        let first = alive.filter(|m| m.state != MemberState::Starting).max_by_key(|m| rank(m))?;
+        let up = self.up().filter(|m| able(m)).chain([&self.own]);
+        let first = up.filter(|m| m.state != MemberState::Starting).max_by_key(|m| rank(m))?;
         let first_rank = rank(first);
         let ranks_higher = |known: &&KnownMember| (true, weight(&known.member)) > first_rank;
         let predecessors =
             self.others.values().filter(|known| known.member.address != first.address);
         let predecessors =
-            predecessors.filter(ranks_higher).filter_map(|known| match known.heard {
-                None => Some(known.since + SETTLED),
+            predecessors.filter(ranks_higher).filter_map(|known| match known.last_heartbeat {
+                None => Some(known.since + SETTLE_TIME),
                 Some(_) if known.member.state == MemberState::Leaving => {
-                    Some(known.state_since + SETTLED)
+                    Some(known.state_since + SETTLE_TIME)
                 }
                 Some(_) => None,
             });
@@ -419,13 +433,15 @@
     }
 
     /// Returns the fraction of all gateways that may exist which is `able` and has been up for
-    /// [`SETTLED`], including this one. Members that can't be reached may be in another partition
+    /// [`SETTLE_TIME`], including this one. Members that can't be reached may be in another partition
     /// and follow other decisions.
-    pub fn part_heard(&self, able: impl Fn(&Member) -> bool, now: Timestamp) -> f64 {
-        let heard = self.others.values().filter(|known| {
-            known.heard.is_some() && now >= known.alive_since + SETTLED && able(&known.member)
+    pub fn reachable_share(&self, able: impl Fn(&Member) -> bool, now: Timestamp) -> f64 {
+        let reachable = self.others.values().filter(|known| {
+            known.last_heartbeat.is_some()
+                && now >= known.up_since + SETTLE_TIME
+                && able(&known.member)
         });
-        (1 + heard.count()) as f64 / (self.known() + self.partitioned.len()) as f64
+        (1 + reachable.count()) as f64 / (self.known_count() + self.partitioned.len()) as f64
     }
 
     /// Returns the owner of `key`, ignoring the members in `skip`; see [`Self::owners`].
@@ -440,7 +456,7 @@
         let seed = xxh3_64(key.as_bytes());
         let weight = |m: &Member| xxh3_64_with_seed(m.address.to_string().as_bytes(), seed);
         let rank = |m: &Member| (m.state == MemberState::Serving, m.capacity_class(), weight(m));
-        let members = self.alive().chain([&self.own]);
+        let members = self.up().chain([&self.own]);
         let able = members.filter(|m| m.state != MemberState::Starting);
         let mut ranked: Vec<_> = able.map(|m| (rank(m), m)).collect();
         ranked.sort_unstable_by_key(|(rank, _)| Reverse(*rank));
@@ -468,7 +484,7 @@
     /// The other members, each with the time since which it is in its state or down, and whether it
     /// is considered up.
     pub fn others(&self) -> impl Iterator<Item = (&Member, Timestamp, bool)> {
-        self.others.values().map(|k| match k.heard {
+        self.others.values().map(|k| match k.last_heartbeat {
             Some(_) => (&k.member, k.state_since, true),
             None => (&k.member, k.since, false),
         })
--- a/src/direct/peers/message.rs
+++ b/src/direct/peers/message.rs
@@ -14,8 +14,8 @@
 use crate::direct::poison::suspects::AnnouncedSuspect;
 use crate::direct::published::documents::{Revised, Seen};
 use crate::direct::published::evacuations::Evacuations;
-use crate::direct::published::homes::Homes;
 use crate::direct::published::model::{Deployment, Name};
+use crate::direct::published::regions::AllowedRegions;
 
 /// Identifies one request of one incarnation of a gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -42,7 +42,7 @@
 
 /// A result and the endpoint that stores it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Made {
+pub struct StoredResult {
     /// Handle of the result.
     pub handle: Handle,
     /// Id of the endpoint.
@@ -77,7 +77,7 @@
     pub data_centre: Name,
     /// Regions in which the stages may run.
     #[serde(default)]
-    pub homes: Homes,
+    pub homes: AllowedRegions,
     /// Whether another owner had started the job.
     pub resubmitted: bool,
     /// Fingerprint of the request's content and its caller.
@@ -101,7 +101,7 @@
     /// Number of pieces.
     pub pieces: usize,
     /// Results by piece if the stage is already done; empty otherwise.
-    pub done: Vec<Made>,
+    pub done: Vec<StoredResult>,
 }
 
 /// The reason for which an owner cancelled a job.
@@ -199,7 +199,8 @@
     /// The receiver of a job has accepted it and will report its end.
     Accepted(JobId),
     /// The job was not started, or ended without its results.
-    GivenUp {
+    #[serde(rename = "GivenUp")]
+    Cancelled {
         /// Id of the job.
         job: JobId,
         /// Reason for the cancellation.
@@ -216,7 +217,7 @@
         /// Index of the stage.
         stage: usize,
         /// The results by piece.
-        results: Vec<Made>,
+        results: Vec<StoredResult>,
     },
     /// Every stage is done; the results of the last stages were sent in [`Self::StageDone`].
     Ready(JobId),
@@ -242,7 +243,8 @@
         /// Number of the request for a permit.
         number: u64,
         /// Whether the message may be sent now.
-        given: bool,
+        #[serde(rename = "given")]
+        granted: bool,
         /// Expected time until a permit is available, if none was given.
         retry_after: Duration,
     },
@@ -259,7 +261,7 @@
             Self::Documents { .. } => "documents",
             Self::Submit(_) => "submit",
             Self::Accepted(_) => "accepted",
-            Self::GivenUp { .. } => "given_up",
+            Self::Cancelled { .. } => "given_up",
             Self::StageDone { .. } => "stage_done",
             Self::Ready(_) => "ready",
             Self::Release(_) => "release",
--- a/src/direct/peers/pulls.rs
+++ b/src/direct/peers/pulls.rs
@@ -61,7 +61,7 @@
 
 /// The first announcement of a configuration version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Told {
+pub struct Announcement {
     /// Address of the peer that announced it.
     pub peer: SocketAddr,
     /// Time of the announcement.
@@ -131,7 +131,7 @@
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Due {
     /// Peers whose pulls of a configuration timed out.
-    pub silent: Vec<SocketAddr>,
+    pub timed_out: Vec<SocketAddr>,
     /// The peer to ask for a configuration, and the number of the pull.
     pub configuration: Option<(SocketAddr, u64)>,
     /// The peer to ask for entries of endpoints.
@@ -144,7 +144,7 @@
     /// Peers that have a newer configuration, and its version.
     newer: BTreeMap<SocketAddr, u64>,
     /// First announcement of each version that is still missing.
-    told: BTreeMap<u64, Told>,
+    first_announced: BTreeMap<u64, Announcement>,
     /// Time at which the last configuration came into force.
     configured: Option<Timestamp>,
     /// The pulls that have not ended, at most [`MAX_IN_FLIGHT`], the oldest first.
@@ -162,11 +162,18 @@
 impl Pulls {
     /// Handles a peer's announcement of what it has received; `complete` is whether it has a
     /// complete list.
-    pub fn told(&mut self, peer: SocketAddr, seen: Seen, complete: bool, own: Own, now: Timestamp) {
+    pub fn on_announcement(
+        &mut self,
+        peer: SocketAddr,
+        seen: Seen,
+        complete: bool,
+        own: Own,
+        now: Timestamp,
+    ) {
         if seen.version > own.seen.version {
             self.newer.insert(peer, seen.version);
-            if self.told.len() < MAX_ANNOUNCED_VERSIONS {
-                self.told.entry(seen.version).or_insert(Told { peer, at: now });
+            if self.first_announced.len() < MAX_ANNOUNCED_VERSIONS {
+                self.first_announced.entry(seen.version).or_insert(Announcement { peer, at: now });
             }
         }
         let lacks_list = complete && !own.complete;
@@ -177,12 +184,12 @@
     }
 
     /// Whether a peer has a newer configuration than this gateway.
-    pub fn knows_newer(&self) -> bool {
+    pub fn has_newer(&self) -> bool {
         !self.newer.is_empty()
     }
 
     /// Records progress of the own read of a configuration.
-    pub const fn reading(&mut self, now: Timestamp) {
+    pub const fn read_progressed(&mut self, now: Timestamp) {
         self.reading = Some(now);
     }
 
@@ -219,12 +226,12 @@
     }
 
     /// Records that entries of endpoints have been received.
-    pub const fn list_came(&mut self) {
+    pub const fn list_received(&mut self) {
         self.list_requested = None;
     }
 
     /// Removes a peer that is down.
-    pub fn lost(&mut self, peer: SocketAddr) {
+    pub fn remove_peer(&mut self, peer: SocketAddr) {
         self.newer.remove(&peer);
         self.in_flight.retain(|p| p.peer != peer);
         self.list.take_if(|l| l.peer == peer);
@@ -232,12 +239,12 @@
 
     /// Records that a configuration came into force; returns the earliest announcement of this
     /// version or an older one.
-    pub fn configured(&mut self, version: u64, now: Timestamp) -> Option<Told> {
+    pub fn configured(&mut self, version: u64, now: Timestamp) -> Option<Announcement> {
         self.newer.retain(|_, v| *v > version);
         self.configured = Some(now);
-        let outstanding = self.told.split_off(&version.saturating_add(1));
-        let told = std::mem::replace(&mut self.told, outstanding);
-        told.into_values().min_by_key(|t| t.at)
+        let outstanding = self.first_announced.split_off(&version.saturating_add(1));
+        let announced = std::mem::replace(&mut self.first_announced, outstanding);
+        announced.into_values().min_by_key(|t| t.at)
     }
 
     /// Returns the actions that are due; `own` is the state of this gateway.
@@ -246,7 +253,7 @@
         self.backing_off.retain(|_, until| now < *until);
         for pull in self.in_flight.extract_if(.., |p| now >= p.times_out_at()) {
             self.backing_off.insert(pull.peer, now + PEER_BACKOFF);
-            due.silent.push(pull.peer);
+            due.timed_out.push(pull.peer);
         }
         self.newer.retain(|_, version| *version > own.seen.version);
         if self.configuration_due(own).is_some_and(|at| now >= at)
@@ -288,7 +295,13 @@
 
     /// Time until which no peer is asked, since the own read may deliver the configuration.
     fn own_read_grace_end(&self, own: Own) -> Timestamp {
-        let since = self.told.values().map(|t| t.at).min().or(self.configured).unwrap_or_default();
+        let since = self
+            .first_announced
+            .values()
+            .map(|t| t.at)
+            .min()
+            .or(self.configured)
+            .unwrap_or_default();
         let mut at = since;
         if let Some(configured) = self.configured.filter(|_| !own.is_starting) {
             at = (at + OWN_READ_GRACE).max(configured + MIN_INTERVAL);
@@ -309,7 +322,7 @@
             .newer
             .iter()
             .filter(|(p, _)| !self.backing_off.contains_key(*p) && !self.is_pulling_from(**p));
-        let ranked: Vec<_> = able.map(|(p, v)| ((*v, members.strength(*p)), *p)).collect();
+        let ranked: Vec<_> = able.map(|(p, v)| ((*v, members.capacity_class_of(*p)), *p)).collect();
         let best = ranked.iter().map(|(rank, _)| *rank).max()?;
         let best: Vec<SocketAddr> =
             ranked.into_iter().filter(|(rank, _)| *rank == best).map(|(_, p)| p).collect();
--- a/src/direct/peers/without_eras.rs
+++ b/src/direct/peers/without_eras.rs
@@ -90,7 +90,7 @@
 
 impl From<Revised> for documents::Revised {
     fn from(Revised { revision, document }: Revised) -> Self {
-        Self { position: Position::new(0, revision), made: 0, document }
+        Self { position: Position::new(0, revision), created_revision: 0, document }
     }
 }
 
--- a/src/direct/poison_detection.rs
+++ b/src/direct/poison_detection.rs
@@ -10,7 +10,7 @@
 use crate::direct::core::GatewayCore;
 use crate::direct::event::Action;
 use crate::direct::log_events::LogEvent;
-use crate::direct::peers::members::HEARTBEAT;
+use crate::direct::peers::members::HEARTBEAT_INTERVAL;
 use crate::direct::peers::message::PeerMessage;
 use crate::direct::poison::RunReport;
 use crate::direct::poison::fingerprint::Fingerprint;
@@ -78,7 +78,7 @@
     /// Checks changed endpoint entries for evidence of a crash.
     pub(super) fn check_entries_for_crashes(&mut self, ids: &[Name], now: Timestamp) {
         let documents = &self.documents;
-        let is_gone = |id: &str| documents.state(id) == EntryState::Gone;
+        let is_gone = |id: &str| documents.entry_state(id) == EntryState::Removed;
         let crashed = self.broken.entries_changed(ids, &self.table, is_gone, now);
         self.endpoints_crashed(crashed, now);
     }
@@ -165,7 +165,7 @@
             self.out.push(Action::Broadcast { to: to.to_vec(), message });
         }
         if now >= self.next_suspects_request
-            && let Some(peer) = self.members.alive().choose(&mut self.rng)
+            && let Some(peer) = self.members.up().choose(&mut self.rng)
         {
             let to = peer.address;
             self.next_suspects_request = now + SUSPECTS_REQUEST_INTERVAL;
@@ -176,6 +176,6 @@
     /// Asks a peer for suspects with the next heartbeat, after a peer appeared: either side may have
     /// missed updates.
     pub(super) fn request_suspects_soon(&mut self, now: Timestamp) {
-        self.next_suspects_request = self.next_suspects_request.min(now + HEARTBEAT);
+        self.next_suspects_request = self.next_suspects_request.min(now + HEARTBEAT_INTERVAL);
     }
 }
--- a/src/direct/publication.rs
+++ b/src/direct/publication.rs
@@ -13,7 +13,7 @@
 use crate::direct::peers::message::PeerMessage;
 use crate::direct::peers::pulls::Own;
 use crate::direct::published::documents::{Document, Merged, Revised, Seen};
-use crate::direct::published::evacuations::{Evacuation, Evacuations};
+use crate::direct::published::evacuations::{EvacuationChange, Evacuations};
 use crate::direct::published::model::{Deployment, Endpoint, Name};
 use crate::direct::published::position::Position;
 use crate::direct::published::store_read::StoreRead;
@@ -45,7 +45,7 @@
     /// How long a watch of the publisher's store waits. With 28 gateways, whose watches end at
     /// random times every 7 s, no gateway starts a new watch within 2.3 s in one of 70,000 cases.
     pub fn watch_timeout(&self) -> Duration {
-        let watching = self.members.alive().count() as u32 + 1;
+        let watching = self.members.up().count() as u32 + 1;
         (WATCH_END_INTERVAL * watching).clamp(MIN_WATCH_TIMEOUT, MAX_WATCH_TIMEOUT)
     }
 
@@ -54,7 +54,7 @@
     /// change costs one call per gateway only after a quiet period. 103 gateways made 2,714 calls
     /// on a quiet day, and 4,051 when all of them resumed after 250 ms.
     pub fn watch_delay_range(&self) -> RangeInclusive<Duration> {
-        let watching = self.members.alive().count() as u32 + 1;
+        let watching = self.members.up().count() as u32 + 1;
         MIN_WATCH_DELAY
             ..=(WATCH_RESUME_INTERVAL * watching).clamp(MIN_WATCH_DELAY, MAX_WATCH_TIMEOUT)
     }
@@ -62,7 +62,7 @@
     /// Maximum of the random delay before this gateway rereads the store for an era that a peer
     /// reported.
     pub fn max_reread_delay(&self) -> Duration {
-        let watching = self.members.alive().count() as u32 + 1;
+        let watching = self.members.up().count() as u32 + 1;
         (REREAD_DELAY_PER_GATEWAY * watching).min(MAX_REREAD_DELAY)
     }
 
@@ -73,7 +73,7 @@
         snapshot_at: Option<Position>,
         now: Timestamp,
     ) {
-        self.documents.publisher(true, now);
+        self.documents.set_publisher_available(true, now);
         if documents.iter().any(Revised::is_deployment) {
             self.pulls.read_ended();
             self.compare_published(&documents);
@@ -92,7 +92,7 @@
     pub(super) fn on_store_read(&mut self, read: &StoreRead) {
         // A complete read is followed by its documents, which end the read; only a failed one ends
         // here.
-        if read.subject == StoreRead::CONFIGURATION && read.outcome != StoreRead::WHOLE {
+        if read.subject == StoreRead::CONFIGURATION && read.outcome != StoreRead::COMPLETE {
             self.pulls.read_ended();
         }
         self.log(LogEvent::store_read(read));
@@ -108,7 +108,8 @@
     ) {
         self.pulls.answered(from);
         let document = Document::Deployment(deployment);
-        let merged = self.documents.merge(vec![Revised { position, made: 0, document }], now);
+        let merged =
+            self.documents.merge(vec![Revised { position, created_revision: 0, document }], now);
         self.log_pull(from, "answered");
         self.merged(&merged, &from.to_string(), false, now);
     }
@@ -127,9 +128,9 @@
     ) {
         let source = from.to_string();
         for revised in &mut documents {
-            revised.position = self.eras.adopt(revised.position);
+            revised.position = self.eras.resolve(revised.position);
         }
-        let listed_at = listed_at.map(|at| self.eras.adopt(at));
+        let listed_at = listed_at.map(|at| self.eras.resolve(at));
         let own = self.documents.seen().endpoints;
         let merged = match listed_at {
             Some(at) if own.era < at.era => {
@@ -139,9 +140,9 @@
             _ => self.documents.merge(documents, now),
         };
         if let Some(seen) = listed_at {
-            self.documents.note_listed(seen);
+            self.documents.mark_list_complete(seen);
         }
-        self.pulls.list_came();
+        self.pulls.list_received();
         self.merged(&merged, &source, false, now);
     }
 
@@ -164,7 +165,7 @@
     /// Responds to a peer's pull with the endpoint entries that it lacks. `configuration` is the
     /// number of a pull that asks for a newer configuration, too.
     pub(super) fn on_pull(&mut self, from: SocketAddr, seen: Seen, configuration: Option<u64>) {
-        let seen = Seen { endpoints: self.eras.adopt(seen.endpoints), ..seen };
+        let seen = Seen { endpoints: self.eras.resolve(seen.endpoints), ..seen };
         let documents = self.documents.endpoints_after(seen.endpoints);
         let complete = self.documents.is_complete();
         let newer =
@@ -213,7 +214,7 @@
     /// `spread`, a heartbeat is sent at once, so that peers learn of changes from the publisher's
     /// store.
     pub(super) fn merged(&mut self, merged: &Merged, source: &str, spread: bool, now: Timestamp) {
-        for life in &merged.leaving_on {
+        for life in &merged.departed {
             self.on_departure(life.clone(), source, now);
         }
         if let Some(before) = merged.deployment {
@@ -221,7 +222,7 @@
             self.out.push(Action::SetCallerLimits(self.documents.deployment().limits.clone()));
         }
         for id in &merged.endpoints {
-            let state = self.documents.state(id).as_str();
+            let state = self.documents.entry_state(id).as_str();
             let (endpoint, source) = (id.clone(), source.to_owned());
             self.out.push(Action::Log(LogEvent::Endpoint { endpoint, state, source }));
         }
@@ -233,9 +234,9 @@
             self.table = self.table.with_deployment(deployment, self.documents.endpoints());
         } else {
             for id in &merged.endpoints {
-                self.table.replace(id, self.documents.endpoint(id));
+                self.table.replace_endpoint(id, self.documents.endpoint(id));
             }
-            self.table.regroup();
+            self.table.rebuild_cells();
         }
         for id in &merged.restarted {
             let incarnation = self.documents.endpoint(id).map_or(0, |e| e.incarnation);
@@ -261,16 +262,16 @@
     /// `snapshot_at`.
     pub(super) fn evacuations_published(
         &mut self,
-        changes: &[Evacuation],
+        changes: &[EvacuationChange],
         snapshot_at: Option<Position>,
         now: Timestamp,
     ) {
         let mut evacuations = self.evacuations.clone();
         match snapshot_at {
-            Some(at) => evacuations.merge(&Evacuations::read(changes, at)),
-            None => changes.iter().for_each(|change| evacuations.change(change)),
+            Some(at) => evacuations.merge(&Evacuations::from_read(changes, at)),
+            None => changes.iter().for_each(|change| evacuations.apply(change)),
         }
-        for change in changes.iter().filter(|change| evacuations.left_out(change)) {
+        for change in changes.iter().filter(|change| evacuations.is_rejected(change)) {
             let key = change.data_centre.to_string();
             self.log(LogEvent::Unreadable { key, cause: "too many evacuation orders".to_owned() });
         }
@@ -290,13 +291,13 @@
             return;
         }
         let mut evacuations = self.evacuations.clone();
-        evacuations.merge(&received.adopted(&self.eras));
+        evacuations.merge(&received.with_era(&self.eras));
         self.evacuations_merged(evacuations, &from.to_string(), now);
     }
 
     /// Applies evacuation orders to everything that is not sent yet; returns whether any changed.
     fn evacuations_merged(&mut self, known: Evacuations, source: &str, now: Timestamp) -> bool {
-        self.unconfirmed_orders.changed(&self.evacuated, &self.evacuations, &known, now);
+        self.unconfirmed_orders.on_change(&self.evacuated, &self.evacuations, &known, now);
         self.evacuations = known;
         self.apply_orders(source, now)
     }
@@ -311,7 +312,7 @@
 
     /// Applies the orders that are in force and confirmed; returns whether that changed anything.
     fn apply_orders(&mut self, source: &str, now: Timestamp) -> bool {
-        let standing = self.unconfirmed_orders.in_force(self.evacuations.standing());
+        let standing = self.unconfirmed_orders.in_force(self.evacuations.evacuated());
         let before = std::mem::replace(&mut self.evacuated, standing.clone());
         if before == standing {
             return false;
@@ -326,7 +327,7 @@
             });
         }
         let returned: BTreeSet<Name> = &before - &standing;
-        self.table.evacuate(standing, self.documents.endpoints());
+        self.table.set_evacuated(standing, self.documents.endpoints());
         self.requests.changed(&self.table, &Merged::default(), &[], now);
         self.owners.table_changed(&self.table, &Merged::default(), &[], now);
         self.requests.return_of(&returned, &self.table, now);
@@ -338,7 +339,7 @@
     pub(super) fn pull_missing_documents(&mut self, now: Timestamp) {
         let own = self.pull_state();
         let due = self.pulls.due(own, &self.members, &mut self.rng, now);
-        for peer in due.silent {
+        for peer in due.timed_out {
             self.log_pull(peer, "silent");
         }
         let seen = if own.complete { own.seen } else { Seen::default() };
--- a/src/direct/published/cells.rs
+++ b/src/direct/published/cells.rs
@@ -87,7 +87,7 @@
 
     /// Whether the endpoints of a data centre belong to a cell. A single cell has all of
     /// them, and so does an unknown one.
-    pub fn has(&self, cell: &str, data_centre: &str) -> bool {
+    pub fn contains(&self, cell: &str, data_centre: &str) -> bool {
         self.cells.len() == 1
             || self.cells.get(cell).is_none_or(|data_centres| data_centres.contains(data_centre))
     }
--- a/src/direct/published/documents.rs
+++ b/src/direct/published/documents.rs
@@ -14,8 +14,8 @@
 use std::time::Duration;
 
 use crate::direct::departures::Departure;
-use crate::direct::published::lapse::Absence;
 use crate::direct::published::model::{Deployment, Endpoint, Name};
+use crate::direct::published::outage::Outage;
 use crate::direct::published::position::Position;
 pub use crate::direct::published::revised::{Document, Revised, Seen};
 use crate::message::Timestamp;
@@ -24,7 +24,7 @@
 const REMOVAL_RETENTION: Duration = Duration::from_secs(120);
 /// Time from the start of an era within which every running endpoint has written its entry again:
 /// two seconds as documented by the platform, and one for the change to arrive here.
-pub const WRITTEN_AGAIN_WITHIN: Duration = Duration::from_secs(3);
+pub const REWRITE_WINDOW: Duration = Duration::from_secs(3);
 /// A restored entry that its endpoint does not renew expires in the store within this time, after
 /// three missed heartbeats; an entry that is still listed by then is confirmed.
 const CONFIRMED_AFTER: Duration = Duration::from_secs(5);
@@ -42,23 +42,23 @@
     /// Position at which the entry was last listed, and the revision at which its key was created
     /// (0 if unknown).
     listed_at: Position,
-    made: u64,
+    created_revision: u64,
     /// An endpoint that an older copy restored, and the time at which it is confirmed.
-    doubted: Option<(Arc<Endpoint>, Timestamp)>,
+    unconfirmed: Option<(Arc<Endpoint>, Timestamp)>,
     /// The endpoint of an expired entry, and the time until which it remains usable.
-    lapsed: Option<(Arc<Endpoint>, Timestamp)>,
+    expired: Option<(Arc<Endpoint>, Timestamp)>,
     changed_at: Timestamp,
 }
 
 impl Entry {
     /// Returns the endpoint if it may be used.
     fn usable(&self) -> Option<&Arc<Endpoint>> {
-        self.endpoint.as_ref().or(self.lapsed.as_ref().map(|(endpoint, _)| endpoint))
+        self.endpoint.as_ref().or(self.expired.as_ref().map(|(endpoint, _)| endpoint))
     }
 
     /// Whether the list has the endpoint, confirmed or not.
     const fn is_in_list(&self) -> bool {
-        self.endpoint.is_some() || self.doubted.is_some()
+        self.endpoint.is_some() || self.unconfirmed.is_some()
     }
 
     /// Whether an older copy lists an endpoint as ready that is leaving or has left. An incarnation
@@ -74,11 +74,16 @@
     /// Whether an older copy lists an endpoint whose entry was removed after the copy. The copy has
     /// the entry at its last known revision or an earlier one. An entry that was written again has
     /// a later revision, a newly created key, or another incarnation.
-    fn was_removed_since(&self, copied: &Endpoint, position: Position, made: u64) -> bool {
+    fn was_removed_since(
+        &self,
+        copied: &Endpoint,
+        position: Position,
+        created_revision: u64,
+    ) -> bool {
         self.position.era < position.era
             && self.usable().is_none()
             && copied.incarnation == self.incarnation
-            && made == self.made
+            && created_revision == self.created_revision
             && position.revision <= self.listed_at.revision
     }
 
@@ -86,7 +91,7 @@
     /// may be running and has yet to write it again. An entry that the copy had was removed in the
     /// new era.
     const fn is_missing_from_copy(&self, removed: Position) -> bool {
-        let is_in_copy = self.made > 0 && self.made <= removed.revision;
+        let is_in_copy = self.created_revision > 0 && self.created_revision <= removed.revision;
         self.position.era < removed.era && self.endpoint.is_some() && !is_in_copy
     }
 }
@@ -100,9 +105,9 @@
     Leaving,
     /// The entry expired while the store was unavailable; the endpoint remains usable for a short
     /// time.
-    Lapsed,
+    Expired,
     /// There is no entry.
-    Gone,
+    Removed,
 }
 
 impl EntryState {
@@ -111,8 +116,8 @@
         match self {
             Self::Listed => "listed",
             Self::Leaving => "leaving",
-            Self::Lapsed => "lapsed",
-            Self::Gone => "gone",
+            Self::Expired => "lapsed",
+            Self::Removed => "gone",
         }
     }
 }
@@ -127,12 +132,12 @@
     /// Ids of those endpoints that restarted: same id, another incarnation.
     pub restarted: Vec<Name>,
     /// Incarnations that are leaving or have left, and that an older copy lists as ready.
-    pub leaving_on: Vec<Departure>,
+    pub departed: Vec<Departure>,
     /// Endpoints that an older copy lists although their entries were removed; unused until
     /// confirmed.
-    pub doubted: Vec<Name>,
+    pub unconfirmed: Vec<Name>,
     /// Endpoints that are missing from an older copy; they remain usable for a limited time.
-    pub lacked: Vec<Name>,
+    pub missing: Vec<Name>,
 }
 
 impl Merged {
@@ -156,7 +161,7 @@
     list_read_at: Position,
     /// Era of the latest document, and the time at which the first document of that era arrived.
     era_start: (u64, Timestamp),
-    absence: Absence,
+    outage: Outage,
     /// Lower bound for the next expiry; `None` if no entry will expire.
     next_expiry: Option<Timestamp>,
     /// Earliest time of the next cleanup of remembered removals.
@@ -186,19 +191,19 @@
     }
 
     /// State of an endpoint's entry.
-    pub fn state(&self, id: &str) -> EntryState {
+    pub fn entry_state(&self, id: &str) -> EntryState {
         let entry = self.endpoints.get(id);
-        match entry.map(|e| (&e.endpoint, &e.lapsed)) {
+        match entry.map(|e| (&e.endpoint, &e.expired)) {
             Some((Some(endpoint), _)) if endpoint.leaving => EntryState::Leaving,
             Some((Some(_), _)) => EntryState::Listed,
-            Some((None, Some(_))) => EntryState::Lapsed,
-            Some((None, None)) | None => EntryState::Gone,
+            Some((None, Some(_))) => EntryState::Expired,
+            Some((None, None)) | None => EntryState::Removed,
         }
     }
 
     /// Records whether the publisher's store responds.
-    pub fn publisher(&mut self, answers: bool, now: Timestamp) {
-        self.absence.publisher(answers, now);
+    pub fn set_publisher_available(&mut self, available: bool, now: Timestamp) {
+        self.outage.set_publisher_available(available, now);
     }
 
     /// Time at which [`Self::expire`] is due.
@@ -214,16 +219,16 @@
             return merged;
         }
         for (id, entry) in &mut self.endpoints {
-            if entry.lapsed.take_if(|l| now >= l.1).is_some() {
+            if entry.expired.take_if(|l| now >= l.1).is_some() {
                 merged.endpoints.push(id.clone());
             }
-            if let Some((endpoint, _)) = entry.doubted.take_if(|d| now >= d.1) {
+            if let Some((endpoint, _)) = entry.unconfirmed.take_if(|d| now >= d.1) {
                 entry.endpoint = Some(endpoint);
                 entry.listed_at = entry.position;
                 merged.endpoints.push(id.clone());
             }
         }
-        let due = |e: &Entry| e.lapsed.iter().chain(&e.doubted).map(|(_, at)| *at).min();
+        let due = |e: &Entry| e.expired.iter().chain(&e.unconfirmed).map(|(_, at)| *at).min();
         self.next_expiry = self.endpoints.values().filter_map(due).min();
         merged
     }
@@ -255,17 +260,19 @@
 
     fn apply(&mut self, documents: Vec<Revised>, now: Timestamp) -> Merged {
         let removed = documents.iter().filter(|d| self.removes_listed(d)).count();
-        let held_until = self.held_until(removed, now);
+        let retained_until = self.retained_until(removed, now);
         let mut merged = Merged::default();
-        for Revised { position, made, document } in documents {
+        for Revised { position, created_revision, document } in documents {
             match document {
                 Document::Deployment(deployment) => {
                     merged.deployment = self.install(position, deployment).or(merged.deployment);
                 }
                 Document::Endpoint(endpoint) => {
-                    self.list(position, made, endpoint, now, &mut merged);
+                    self.list(position, created_revision, endpoint, now, &mut merged);
+                }
+                Document::Removed(id) => {
+                    self.remove_entry(id, position, retained_until, now, &mut merged)
                 }
-                Document::Gone(id) => self.remove_entry(id, position, held_until, now, &mut merged),
             }
         }
         self.forget_removed(now);
@@ -289,9 +296,9 @@
             .filter(|(id, e)| e.is_in_list() && e.position < at && !listed.contains(*id))
             .map(|(id, _)| id.clone())
             .collect();
-        let held_until = self.held_until(missing.len(), now);
+        let retained_until = self.retained_until(missing.len(), now);
         for id in missing {
-            self.remove_entry(id, at, held_until, now, &mut merged);
+            self.remove_entry(id, at, retained_until, now, &mut merged);
         }
         // An empty list has no entry to carry its era.
         self.seen.endpoints = self.seen.endpoints.max(Position::new(at.era, 0));
@@ -309,18 +316,18 @@
     pub fn endpoints_after(&self, position: Position) -> Vec<Revised> {
         let newer = self.endpoints.iter().filter(|(_, e)| e.position > position);
         let revised = newer.map(|(id, entry)| {
-            let doubted = entry.doubted.as_ref().map(|(endpoint, _)| endpoint);
-            let document = match entry.endpoint.as_ref().or(doubted) {
+            let unconfirmed = entry.unconfirmed.as_ref().map(|(endpoint, _)| endpoint);
+            let document = match entry.endpoint.as_ref().or(unconfirmed) {
                 Some(endpoint) => Document::Endpoint(endpoint.clone()),
-                None => Document::Gone(id.clone()),
+                None => Document::Removed(id.clone()),
             };
-            Revised { position: entry.position, made: entry.made, document }
+            Revised { position: entry.position, created_revision: entry.created_revision, document }
         });
         revised.collect()
     }
 
     /// Records that a peer sent all entries that this process lacked, up to the position `seen`.
-    pub fn note_listed(&mut self, seen: Position) {
+    pub fn mark_list_complete(&mut self, seen: Position) {
         self.has_full_list = true;
         self.seen.endpoints = self.seen.endpoints.max(seen);
     }
@@ -338,26 +345,26 @@
 
     /// Whether the document removes an endpoint that is listed and not leaving.
     fn removes_listed(&self, document: &Revised) -> bool {
-        let Document::Gone(id) = &document.document else {
+        let Document::Removed(id) = &document.document else {
             return false;
         };
         let known = self.endpoints.get(id).filter(|e| e.position < document.position);
         known.and_then(|e| e.endpoint.as_ref()).is_some_and(|e| !e.leaving)
     }
 
-    fn held_until(&self, removed: usize, now: Timestamp) -> Option<Timestamp> {
+    fn retained_until(&self, removed: usize, now: Timestamp) -> Option<Timestamp> {
         if removed == 0 {
             return None;
         }
         let listed = self.endpoints.values().filter(|e| e.endpoint.is_some()).count();
-        self.absence.held_until(removed, listed, now)
+        self.outage.retained_until(removed, listed, now)
     }
 
     /// Merges an endpoint's entry as of a position.
     fn list(
         &mut self,
         position: Position,
-        made: u64,
+        created_revision: u64,
         endpoint: Arc<Endpoint>,
         now: Timestamp,
         merged: &mut Merged,
@@ -373,9 +380,9 @@
             incarnation,
             was_leaving: false,
             listed_at: position,
-            made,
-            doubted: None,
-            lapsed: None,
+            created_revision,
+            unconfirmed: None,
+            expired: None,
             changed_at: now,
         };
         if let Some(known) = known {
@@ -383,12 +390,12 @@
                 merged.restarted.push(id.clone());
             }
             if known.has_departed(&endpoint, position) {
-                merged.leaving_on.push(Departure::of(&endpoint));
-            } else if known.was_removed_since(&endpoint, position, made) {
+                merged.departed.push(Departure::of(&endpoint));
+            } else if known.was_removed_since(&endpoint, position, created_revision) {
                 let until = now + CONFIRMED_AFTER;
-                entry.doubted = entry.endpoint.take().zip(Some(until));
+                entry.unconfirmed = entry.endpoint.take().zip(Some(until));
                 entry.listed_at = known.listed_at;
-                merged.doubted.push(id.clone());
+                merged.unconfirmed.push(id.clone());
                 self.schedule_expiry(until);
             }
         }
@@ -396,12 +403,12 @@
     }
 
     /// Merges the removal of an endpoint's entry as of a position. The endpoint remains usable
-    /// until `held_until`.
+    /// until `retained_until`.
     fn remove_entry(
         &mut self,
         id: Name,
         position: Position,
-        held_until: Option<Timestamp>,
+        retained_until: Option<Timestamp>,
         now: Timestamp,
         merged: &mut Merged,
     ) {
@@ -414,29 +421,28 @@
             incarnation: 0,
             was_leaving: false,
             listed_at: position,
-            made: 0,
-            doubted: None,
-            lapsed: None,
+            created_revision: 0,
+            unconfirmed: None,
+            expired: None,
             changed_at: now,
         };
         if let Some(known) = known {
             entry.incarnation = known.incarnation;
-            (entry.listed_at, entry.made) = (known.listed_at, known.made);
+            (entry.listed_at, entry.created_revision) = (known.listed_at, known.created_revision);
             entry.was_leaving = known.endpoint.as_ref().map_or(known.was_leaving, |e| e.leaving);
             let is_missing_from_copy = known.is_missing_from_copy(position);
-            let missing_until =
-                is_missing_from_copy.then(|| self.era_start.1 + WRITTEN_AGAIN_WITHIN);
-            let held_until = missing_until.filter(|until| now < *until).max(held_until);
-            entry.lapsed = match &known.endpoint {
+            let missing_until = is_missing_from_copy.then(|| self.era_start.1 + REWRITE_WINDOW);
+            let retained_until = missing_until.filter(|until| now < *until).max(retained_until);
+            entry.expired = match &known.endpoint {
                 // Peers that read the list at another position report the same removal again.
-                None => known.lapsed.clone(),
-                Some(endpoint) => (!endpoint.leaving).then(|| endpoint.clone()).zip(held_until),
+                None => known.expired.clone(),
+                Some(endpoint) => (!endpoint.leaving).then(|| endpoint.clone()).zip(retained_until),
             };
-            if is_missing_from_copy && entry.lapsed.is_some() {
-                merged.lacked.push(id.clone());
+            if is_missing_from_copy && entry.expired.is_some() {
+                merged.missing.push(id.clone());
             }
         }
-        if let Some((_, until)) = &entry.lapsed {
+        if let Some((_, until)) = &entry.expired {
             self.schedule_expiry(*until);
         }
         self.store_entry(id, entry, merged);
--- a/src/direct/published/evacuations.rs
+++ b/src/direct/published/evacuations.rs
@@ -7,13 +7,13 @@
 //! bring it back.
 //!
 //! When an era begins with an older copy of the store, the orders in force stay in force
-//! ([`Unconfirmed`]) until they are written again or the time for that has passed.
+//! ([`UnconfirmedOrders`]) until they are written again or the time for that has passed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
-use crate::direct::published::documents::WRITTEN_AGAIN_WITHIN;
+use crate::direct::published::documents::REWRITE_WINDOW;
 use crate::direct::published::model::Name;
 use crate::direct::published::position::{Eras, Position};
 use crate::message::Timestamp;
@@ -24,42 +24,43 @@
 
 /// A change of one order: given or withdrawn.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Evacuation {
+pub struct EvacuationChange {
     /// The data centre that gets no new work.
     pub data_centre: Name,
     /// Position of the change in the store's history.
     pub position: Position,
     /// Whether the change puts the order in force; otherwise it withdraws the order.
-    pub stands: bool,
+    pub in_force: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "WrittenOrder", into = "WrittenOrder")]
 struct Order {
     position: Position,
-    stands: bool,
+    in_force: bool,
 }
 
 /// Serialized form of [`Order`]; builds without eras ignore the fields that they don't know.
 #[derive(Serialize, Deserialize)]
 struct WrittenOrder {
     revision: u64,
-    stands: bool,
+    #[serde(rename = "stands")]
+    in_force: bool,
     #[serde(default)]
     era: u64,
 }
 
 impl From<WrittenOrder> for Order {
     fn from(written: WrittenOrder) -> Self {
-        let WrittenOrder { revision, stands, era } = written;
-        Self { position: Position::new(era, revision), stands }
+        let WrittenOrder { revision, in_force, era } = written;
+        Self { position: Position::new(era, revision), in_force }
     }
 }
 
 impl From<Order> for WrittenOrder {
     fn from(order: Order) -> Self {
-        let Order { position: Position { era, revision }, stands } = order;
-        Self { revision, stands, era }
+        let Order { position: Position { era, revision }, in_force } = order;
+        Self { revision, in_force, era }
     }
 }
 
@@ -98,17 +99,17 @@
 
 impl Evacuations {
     /// Creates the state from a complete read of all orders at a position.
-    pub fn read(changes: &[Evacuation], at: Position) -> Self {
+    pub fn from_read(changes: &[EvacuationChange], at: Position) -> Self {
         let mut read = Self { read_at: at, orders: BTreeMap::new() };
-        for change in changes.iter().filter(|change| change.stands) {
+        for change in changes.iter().filter(|change| change.in_force) {
             read.store(change.data_centre.clone(), change.position, true);
         }
         read
     }
 
     /// Data centres whose order is in force.
-    pub fn standing(&self) -> BTreeSet<Name> {
-        let standing = self.orders.iter().filter(|(_, order)| order.stands);
+    pub fn evacuated(&self) -> BTreeSet<Name> {
+        let standing = self.orders.iter().filter(|(_, order)| order.in_force);
         standing.map(|(data_centre, _)| data_centre.clone()).collect()
     }
 
@@ -117,18 +118,18 @@
         read_at: Position,
         orders: impl Iterator<Item = (Name, Position, bool)>,
     ) -> Self {
-        let order = |(name, position, stands)| (name, Order { position, stands });
+        let order = |(name, position, in_force)| (name, Order { position, in_force });
         Self { read_at, orders: orders.map(order).collect() }
     }
 
-    /// Completes the positions sent by a process that may not know eras; see [`Eras::adopt`].
-    pub fn adopted(&self, eras: &Eras) -> Self {
-        let mut adopted = self.clone();
-        adopted.read_at = eras.adopt(self.read_at);
-        for order in adopted.orders.values_mut() {
-            order.position = eras.adopt(order.position);
+    /// Completes the positions sent by a process that may not know eras; see [`Eras::resolve`].
+    pub fn with_era(&self, eras: &Eras) -> Self {
+        let mut resolved = self.clone();
+        resolved.read_at = eras.resolve(self.read_at);
+        for order in resolved.orders.values_mut() {
+            order.position = eras.resolve(order.position);
         }
-        adopted
+        resolved
     }
 
     /// Era of the latest known position.
@@ -138,16 +139,16 @@
     }
 
     /// Whether an order is rejected because too many are kept already.
-    pub fn left_out(&self, change: &Evacuation) -> bool {
-        change.stands
+    pub fn is_rejected(&self, change: &EvacuationChange) -> bool {
+        change.in_force
             && self.orders.len() >= MAX_ORDERS
             && !self.orders.contains_key(&change.data_centre)
     }
 
     /// Applies a change; one that is older than the known state of its data centre changes nothing.
-    pub fn change(&mut self, change: &Evacuation) {
+    pub fn apply(&mut self, change: &EvacuationChange) {
         if change.position > self.known_up_to(&change.data_centre) {
-            self.store(change.data_centre.clone(), change.position, change.stands);
+            self.store(change.data_centre.clone(), change.position, change.in_force);
         }
     }
 
@@ -159,7 +160,7 @@
                 continue;
             }
             match other.orders.get(&data_centre) {
-                Some(order) => self.store(data_centre, order.position, order.stands),
+                Some(order) => self.store(data_centre, order.position, order.in_force),
                 None => {
                     self.orders.remove(&data_centre);
                 }
@@ -167,7 +168,7 @@
         }
         self.read_at = self.read_at.max(other.read_at);
         let read_at = self.read_at;
-        self.orders.retain(|_, order| order.stands || order.position > read_at);
+        self.orders.retain(|_, order| order.in_force || order.position > read_at);
     }
 
     /// Position up to which the state of a data centre's order is known.
@@ -178,22 +179,22 @@
 
     /// Stores an order. If there are too many, it replaces the oldest withdrawn one; without such
     /// an order the new one is rejected.
-    fn store(&mut self, data_centre: Name, position: Position, stands: bool) {
+    fn store(&mut self, data_centre: Name, position: Position, in_force: bool) {
         if self.orders.len() >= MAX_ORDERS && !self.orders.contains_key(&data_centre) {
-            let withdrawn = self.orders.iter().filter(|(_, order)| !order.stands);
+            let withdrawn = self.orders.iter().filter(|(_, order)| !order.in_force);
             let oldest = withdrawn.min_by_key(|(_, order)| order.position);
             let Some(oldest) = oldest.map(|(name, _)| name.clone()) else {
                 return;
             };
             self.orders.remove(&oldest);
         }
-        self.orders.insert(data_centre, Order { position, stands });
+        self.orders.insert(data_centre, Order { position, in_force });
     }
 }
 
 /// Orders that stay in force, or withdrawn, as they were before an era began with an older copy.
 #[derive(Debug, Default)]
-pub struct Unconfirmed {
+pub struct UnconfirmedOrders {
     orders: BTreeMap<Name, OrderBeforeEra>,
 }
 
@@ -206,9 +207,9 @@
     until: Timestamp,
 }
 
-impl Unconfirmed {
+impl UnconfirmedOrders {
     /// Records a change of the known orders; `in_force` are the data centres evacuated until now.
-    pub fn changed(
+    pub fn on_change(
         &mut self,
         in_force: &BTreeSet<Name>,
         from: &Evacuations,
@@ -223,8 +224,8 @@
             self.orders.retain(|name, before| is_unchanged(name, before));
             return;
         }
-        let until = now + WRITTEN_AGAIN_WITHIN;
-        for data_centre in in_force ^ &to.standing() {
+        let until = now + REWRITE_WINDOW;
+        for data_centre in in_force ^ &to.evacuated() {
             let was_in_force = in_force.contains(&data_centre);
             let in_copy = to.orders.get(&data_centre).copied();
             self.orders.insert(data_centre, OrderBeforeEra { was_in_force, in_copy, until });
--- a/src/direct/published/mod.rs
+++ b/src/direct/published/mod.rs
@@ -7,10 +7,10 @@
 pub mod cells;
 pub mod documents;
 pub mod evacuations;
-pub mod homes;
-pub mod lapse;
 pub mod model;
+pub mod outage;
 pub mod position;
+pub mod regions;
 pub mod revised;
 pub mod store_read;
 pub mod table;
--- a/src/direct/published/lapse.rs
+++ b/src/direct/published/outage.rs
@@ -18,16 +18,16 @@
 
 /// Outages of the publisher, as observed by this process.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Absence {
+pub struct Outage {
     since: Option<Timestamp>,
     /// End of the last outage that was long enough for entries to expire.
     ended_at: Option<Timestamp>,
 }
 
-impl Absence {
+impl Outage {
     /// Records whether the publisher responds.
-    pub fn publisher(&mut self, answers: bool, now: Timestamp) {
-        if !answers {
+    pub fn set_publisher_available(&mut self, available: bool, now: Timestamp) {
+        if !available {
             self.since.get_or_insert(now);
             return;
         }
@@ -40,7 +40,12 @@
 
     /// Returns the time until which entries are retained although the publisher reports them as
     /// removed, `removed` of `listed` ones at once. `None` if the endpoints have left.
-    pub fn held_until(&self, removed: usize, listed: usize, now: Timestamp) -> Option<Timestamp> {
+    pub fn retained_until(
+        &self,
+        removed: usize,
+        listed: usize,
+        now: Timestamp,
+    ) -> Option<Timestamp> {
         let restored_by = self.ended_at.map(|at| at + RESTORED_WITHIN).filter(|until| now < *until);
         let many_at_once = removed >= MIN_SIMULTANEOUS && removed * 2 >= listed;
         restored_by.or_else(|| many_at_once.then(|| now + RESTORED_WITHIN))
--- a/src/direct/published/position.rs
+++ b/src/direct/published/position.rs
@@ -58,7 +58,7 @@
     /// Adds the era to a position from a build without eras. While only one era has been observed,
     /// the revision is in that era. After that the era is ambiguous, and the position counts as
     /// older than all others.
-    pub fn adopt(&self, position: Position) -> Position {
+    pub fn resolve(&self, position: Position) -> Position {
         let is_unambiguous = position.era == 0 && !self.has_changed;
         if is_unambiguous { Position::new(self.newest(), position.revision) } else { position }
     }
--- a/src/direct/published/homes.rs
+++ b/src/direct/published/regions.rs
@@ -16,16 +16,16 @@
 
 /// The regions in which a request and the pieces of its stages may run.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Homes {
+pub struct AllowedRegions {
     /// `None` if all regions are allowed.
     regions: Option<BTreeSet<Name>>,
 }
 
-impl Homes {
+impl AllowedRegions {
     /// Combines the regions of a request's route and of its organisation; if both are restricted,
     /// only regions in both are allowed.
     pub fn of(route: &[Name], organisation: &[Name]) -> Self {
-        let set = |homes: &[Name]| homes.iter().cloned().collect::<BTreeSet<Name>>();
+        let set = |names: &[Name]| names.iter().cloned().collect::<BTreeSet<Name>>();
         let regions = match (route.is_empty(), organisation.is_empty()) {
             (true, true) => None,
             (false, true) => Some(set(route)),
@@ -36,18 +36,18 @@
     }
 
     /// Whether all regions are allowed.
-    pub const fn are_everywhere(&self) -> bool {
+    pub const fn is_unrestricted(&self) -> bool {
         self.regions.is_none()
     }
 
     /// Whether an endpoint is in an allowed region. A restriction excludes endpoints without a
     /// region.
-    pub fn have(&self, endpoint: &Endpoint) -> bool {
-        self.have_region(region_of(endpoint))
+    pub fn allows(&self, endpoint: &Endpoint) -> bool {
+        self.allows_region(region_of(endpoint))
     }
 
     /// Whether a region is allowed.
-    pub fn have_region(&self, region: Option<&str>) -> bool {
+    pub fn allows_region(&self, region: Option<&str>) -> bool {
         let Some(regions) = &self.regions else {
             return true;
         };
--- a/src/direct/published/revised.rs
+++ b/src/direct/published/revised.rs
@@ -18,7 +18,8 @@
     /// An endpoint's entry.
     Endpoint(Arc<Endpoint>),
     /// An endpoint's entry was removed.
-    Gone(Name),
+    #[serde(rename = "Gone")]
+    Removed(Name),
 }
 
 /// A document and its position in the store's history.
@@ -28,7 +29,7 @@
     /// Position of the last change.
     pub position: Position,
     /// Revision at which the document's key was created; 0 if unknown, and for a removal.
-    pub made: u64,
+    pub created_revision: u64,
     /// The document.
     pub document: Document,
 }
@@ -41,20 +42,21 @@
     #[serde(default)]
     era: u64,
     #[serde(default)]
-    made: u64,
+    #[serde(rename = "made")]
+    created_revision: u64,
 }
 
 impl From<WrittenRevised> for Revised {
     fn from(written: WrittenRevised) -> Self {
-        let WrittenRevised { revision, document, era, made } = written;
-        Self { position: Position::new(era, revision), made, document }
+        let WrittenRevised { revision, document, era, created_revision } = written;
+        Self { position: Position::new(era, revision), created_revision, document }
     }
 }
 
 impl From<Revised> for WrittenRevised {
     fn from(revised: Revised) -> Self {
-        let Revised { position: Position { era, revision }, made, document } = revised;
-        Self { revision, document, era, made }
+        let Revised { position: Position { era, revision }, created_revision, document } = revised;
+        Self { revision, document, era, created_revision }
     }
 }
 
--- a/src/direct/published/store_read.rs
+++ b/src/direct/published/store_read.rs
@@ -16,12 +16,12 @@
     /// Bytes announced by the response, if any.
     pub expected: Option<u64>,
     /// Whether the response came over a new connection because the previous one stayed silent.
-    pub again: bool,
+    pub reconnected: bool,
     /// Time from the call to the response headers, or to the failure; for a watch this includes the
     /// wait for changes.
     pub waited: Duration,
     /// Time from the response headers to the end of the body.
-    pub took: Duration,
+    pub transfer_time: Duration,
     /// Time spent on decoding.
     pub decoding: Duration,
 }
@@ -30,5 +30,5 @@
     /// The `subject` of configuration reads.
     pub const CONFIGURATION: &'static str = "configuration";
     /// The `outcome` of a read with a complete response.
-    pub const WHOLE: &'static str = "whole";
+    pub const COMPLETE: &'static str = "whole";
 }
--- a/src/direct/published/table.rs
+++ b/src/direct/published/table.rs
@@ -19,7 +19,7 @@
     by_host: HashMap<Name, Vec<usize>>,
     by_key: HashMap<Name, usize>,
     /// Endpoints of each pool ordered by id, including those that are leaving.
-    members: HashMap<Name, Vec<Arc<Endpoint>>>,
+    by_pool: HashMap<Name, Vec<Arc<Endpoint>>>,
     /// Endpoints that are in at least one pool.
     by_id: HashMap<Name, Arc<Endpoint>>,
     /// Data centres whose endpoints get no new work, whatever their entries say.
@@ -48,9 +48,9 @@
         }
         let mut table = Self { deployment, by_host, by_key, ..Self::default() };
         for endpoint in endpoints {
-            table.replace(&endpoint.id, Some(endpoint));
+            table.replace_endpoint(&endpoint.id, Some(endpoint));
         }
-        table.regroup();
+        table.rebuild_cells();
         table
     }
 
@@ -64,37 +64,37 @@
         table.evacuated.clone_from(&self.evacuated);
         table.departed.clone_from(&self.departed);
         for endpoint in endpoints {
-            table.replace(&endpoint.id, Some(endpoint));
+            table.replace_endpoint(&endpoint.id, Some(endpoint));
         }
-        table.regroup();
+        table.rebuild_cells();
         table
     }
 
     /// Replaces the set of evacuated data centres; `endpoints` are the known ones, which are added
     /// again.
-    pub fn evacuate<'a>(
+    pub fn set_evacuated<'a>(
         &mut self,
         evacuated: BTreeSet<Name>,
         endpoints: impl Iterator<Item = &'a Arc<Endpoint>>,
     ) {
         self.evacuated = evacuated;
         for endpoint in endpoints {
-            self.replace(&endpoint.id, Some(endpoint));
+            self.replace_endpoint(&endpoint.id, Some(endpoint));
         }
-        self.regroup();
+        self.rebuild_cells();
     }
 
     /// Marks an incarnation of an endpoint as leaving: it gets no new work, even if its entry is
     /// added later or again.
-    pub fn depart(&mut self, departure: Departure, endpoint: Option<&Arc<Endpoint>>) {
+    pub fn mark_departed(&mut self, departure: Departure, endpoint: Option<&Arc<Endpoint>>) {
         let id = departure.endpoint.clone();
         self.departed.insert(departure);
-        self.replace(&id, endpoint);
-        self.regroup();
+        self.replace_endpoint(&id, endpoint);
+        self.rebuild_cells();
     }
 
     /// Drops departures for which `is_kept` returns `false`.
-    pub fn forget_departed(&mut self, is_kept: impl FnMut(&Departure) -> bool) {
+    pub fn retain_departures(&mut self, is_kept: impl FnMut(&Departure) -> bool) {
         self.departed.retain(is_kept);
     }
 
@@ -110,9 +110,10 @@
     }
 
     /// Recomputes the cells after endpoints were replaced.
-    pub fn regroup(&mut self) {
+    pub fn rebuild_cells(&mut self) {
         let batch = self.deployment.pools.iter().filter(|p| matches!(p.work, Work::Batch(_)));
-        let members = batch.flat_map(|p| self.members(&p.name).iter().map(move |e| (p, &**e)));
+        let members =
+            batch.flat_map(|p| self.pool_endpoints(&p.name).iter().map(move |e| (p, &**e)));
         self.cells = Cells::of(members);
     }
 
@@ -122,11 +123,11 @@
     }
 
     /// Adds, changes or (with `None`) removes an endpoint; routes and keys are unchanged.
-    pub fn replace(&mut self, id: &Name, endpoint: Option<&Arc<Endpoint>>) {
+    pub fn replace_endpoint(&mut self, id: &Name, endpoint: Option<&Arc<Endpoint>>) {
         let endpoint = endpoint.map(|endpoint| self.usable(endpoint));
         self.by_id.remove(id);
         for pool in &self.deployment.pools {
-            let members = self.members.entry(pool.name.clone()).or_default();
+            let members = self.by_pool.entry(pool.name.clone()).or_default();
             let place = members.binary_search_by(|m| m.id.cmp(id));
             if let Ok(at) = place {
                 members.remove(at);
@@ -158,8 +159,8 @@
     }
 
     /// The endpoints of a pool, including those that are leaving.
-    pub fn members(&self, pool: &str) -> &[Arc<Endpoint>] {
-        self.members.get(pool).map_or(&[], Vec::as_slice)
+    pub fn pool_endpoints(&self, pool: &str) -> &[Arc<Endpoint>] {
+        self.by_pool.get(pool).map_or(&[], Vec::as_slice)
     }
 
     /// Returns the pool with this name.
@@ -168,7 +169,7 @@
     }
 
     /// Returns the specification of a pool's batch calls, if the pool runs batch calls.
-    pub fn batch(&self, pool: &str) -> Option<&BatchSpec> {
+    pub fn batch_spec(&self, pool: &str) -> Option<&BatchSpec> {
         match &self.pool(pool)?.work {
             Work::Batch(spec) => Some(spec),
             Work::Plain | Work::Engine(_) => None,
@@ -184,8 +185,8 @@
     }
 
     /// Returns the batch specification for an endpoint, if it is in a batch pool.
-    pub fn batch_of(&self, id: &str) -> Option<&BatchSpec> {
-        self.batch(self.batch_pools_of(id).next()?)
+    pub fn batch_spec_of(&self, id: &str) -> Option<&BatchSpec> {
+        self.batch_spec(self.batch_pools_of(id).next()?)
     }
 
     /// Returns the endpoint with this id, if it is in a pool.
--- a/src/direct/rate_limits.rs
+++ b/src/direct/rate_limits.rs
@@ -11,7 +11,7 @@
 use crate::direct::limits::limiter::{Asker, Pace, PermitDecision, PermitRequest};
 use crate::direct::limits::permits::{NeededPermit, PendingPermit, Purpose};
 use crate::direct::log_events::{LogEvent, ms};
-use crate::direct::peers::members::{Member, SETTLED};
+use crate::direct::peers::members::{Member, SETTLE_TIME};
 use crate::direct::peers::message::PeerMessage;
 use crate::direct::published::model::Endpoint;
 use crate::direct::requests::RETRY_SOON;
@@ -196,19 +196,19 @@
         let issues_permits = |member: &Member| builds.gives_permits(member.address);
         let (limiter, settled) = self.members.limiter(&life.0, issues_permits)?;
         let has_started_up = self.complete_since.is_some_and(|since| now >= since + STARTUP_DELAY);
-        let has_settled = now >= settled && now >= self.resumed_at + SETTLED;
+        let has_settled = now >= settled && now >= self.resumed_at + SETTLE_TIME;
         let is_limiter = limiter == self.members.own().address && has_started_up && has_settled;
-        is_limiter.then(|| Pace::new(rate, self.members.part_heard(issues_permits, now)))
+        is_limiter.then(|| Pace::new(rate, self.members.reachable_share(issues_permits, now)))
     }
 
     fn send_decisions(&mut self, decided: Vec<PermitDecision>) {
         for decided in decided {
-            let (asker, given, retry_after) = match decided {
+            let (asker, granted, retry_after) = match decided {
                 PermitDecision::Granted(asker) => (asker, true, Duration::ZERO),
                 PermitDecision::Refused(asker, turn) => (asker, false, turn),
             };
             let number = asker.number;
-            self.send(asker.gateway, PeerMessage::Permit { number, given, retry_after });
+            self.send(asker.gateway, PeerMessage::Permit { number, granted, retry_after });
         }
     }
 
--- a/src/direct/readiness.rs
+++ b/src/direct/readiness.rs
@@ -61,7 +61,7 @@
         if self.documents.is_complete() && self.complete_since.is_none() {
             let since = *self.documents_since.get_or_insert(now);
             let has_answer = self.unanswered_peers.is_empty() || now >= since + PEER_ANSWER_TIMEOUT;
-            let has_newest = !self.pulls.knows_newer() || now >= since + NEWEST_DOCUMENTS_TIMEOUT;
+            let has_newest = !self.pulls.has_newer() || now >= since + NEWEST_DOCUMENTS_TIMEOUT;
             if has_answer && has_newest {
                 self.complete_since = Some(now);
             }
--- a/src/direct/requests/changes.rs
+++ b/src/direct/requests/changes.rs
@@ -77,7 +77,7 @@
 
     /// When the first pause ends, if all endpoints of a pool that accept requests are paused.
     fn all_paused_until(&self, pool: &str, table: &Table, now: Timestamp) -> Option<Timestamp> {
-        let accepting = table.members(pool).iter().filter(|endpoint| !endpoint.leaving);
+        let accepting = table.pool_endpoints(pool).iter().filter(|endpoint| !endpoint.leaving);
         let ends: Option<Vec<Timestamp>> =
             accepting.map(|endpoint| self.backoffs.paused_until(endpoint, now)).collect();
         ends?.into_iter().min()
--- a/src/direct/requests/choice.rs
+++ b/src/direct/requests/choice.rs
@@ -82,10 +82,10 @@
         table: &Table,
         now: Timestamp,
     ) -> Result<Choice, Unplaced> {
-        let members = table.members(&request.pool);
+        let members = table.pool_endpoints(&request.pool);
         let is_candidate = |e: &&Arc<Endpoint>| !e.leaving && !request.tried.contains(&e.id);
         let accepting: Vec<&Arc<Endpoint>> = members.iter().filter(is_candidate).collect();
-        let allowed = accepting.iter().copied().filter(|e| request.allowed_regions.have(e));
+        let allowed = accepting.iter().copied().filter(|e| request.allowed_regions.allows(e));
         let cold_start = table.pool(&request.pool).and_then(|pool| pool.cold);
         let is_any_allowed = allowed.clone().next().is_some();
         let unavailability = |e: &Endpoint| self.unavailability(e, request, cold_start, now);
@@ -145,7 +145,7 @@
         cold_start: Option<ColdStart>,
         now: Timestamp,
     ) -> Option<Unavailable> {
-        let accepting = members.iter().filter(|e| !e.leaving && request.allowed_regions.have(e));
+        let accepting = members.iter().filter(|e| !e.leaving && request.allowed_regions.allows(e));
         let unavailable: Option<Vec<Unavailable>> =
             accepting.map(|e| self.unavailability(e, request, cold_start, now)).collect();
         unavailable?.into_iter().min()
--- a/src/direct/requests/mod.rs
+++ b/src/direct/requests/mod.rs
@@ -43,8 +43,8 @@
 use crate::direct::peers::members::Members;
 use crate::direct::peers::message::{JobId, PeerMessage};
 use crate::direct::poison::suspects::Suspects;
-use crate::direct::published::homes::Homes;
 use crate::direct::published::model::{Name, Organisation, Route};
+use crate::direct::published::regions::AllowedRegions;
 use crate::direct::published::table::Table;
 use crate::direct::repeats::{RepeatBudget, RepeatLimiter};
 use crate::direct::requests::endpoints::Observations;
@@ -200,7 +200,7 @@
         rng: &mut impl Rng,
         now: Timestamp,
     ) -> Vec<Action> {
-        self.gateway_count = members.known();
+        self.gateway_count = members.known_count();
         for caller in std::mem::take(&mut self.pending_submissions) {
             self.submit_stages(caller, members, table, now);
         }
@@ -279,7 +279,7 @@
             pool: select_pool(route, &incoming.id),
             fingerprint: incoming.content.for_organisation(organisation.map(|o| &*o.name)),
             organisation: organisation.map(|o| o.name.clone()),
-            allowed_regions: Homes::of(&route.homes, homes),
+            allowed_regions: AllowedRegions::of(&route.homes, homes),
             priority,
             arrived,
             deadline: arrived + allowed,
--- a/src/direct/requests/request.rs
+++ b/src/direct/requests/request.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use crate::direct::event::IncomingRequest;
-use crate::direct::peers::message::{JobId, Made};
+use crate::direct::peers::message::{JobId, StoredResult};
 use crate::direct::poison::fingerprint::Fingerprint;
-use crate::direct::published::homes::Homes;
 use crate::direct::published::model::{Endpoint, Name, Repeat, Route};
+use crate::direct::published::regions::AllowedRegions;
 use crate::direct::requests::permits::AwaitedPermit;
 use crate::message::Timestamp;
 
@@ -67,7 +67,7 @@
     /// Fingerprint of the request's content and organisation.
     pub fingerprint: Fingerprint,
     /// Regions where the request may run.
-    pub allowed_regions: Homes,
+    pub allowed_regions: AllowedRegions,
     /// Priority; 0 is the most urgent.
     pub priority: u8,
     /// When the request arrived.
@@ -79,7 +79,7 @@
     /// Current phase.
     pub phase: Phase,
     /// Results by stage.
-    pub results: Vec<Vec<Made>>,
+    pub results: Vec<Vec<StoredResult>>,
     /// The last owner of the stages, also after they are done.
     pub owner: Option<SocketAddr>,
     /// Cells that the stages were submitted to, in order.
@@ -151,7 +151,7 @@
     }
 
     /// The results that the run needs, in order.
-    pub fn inputs(&self) -> Vec<Made> {
+    pub fn inputs(&self) -> Vec<StoredResult> {
         let last = self.route.last_stages();
         last.flat_map(|s| self.results.get(s).cloned().unwrap_or_default()).collect()
     }
--- a/src/direct/requests/stages.rs
+++ b/src/direct/requests/stages.rs
@@ -6,7 +6,7 @@
 use crate::direct::event::{Action, Refused};
 use crate::direct::log_events::LogEvent;
 use crate::direct::peers::members::Members;
-use crate::direct::peers::message::{Job, JobId, JobReason, JobStage, Made, PeerMessage};
+use crate::direct::peers::message::{Job, JobId, JobReason, JobStage, PeerMessage, StoredResult};
 use crate::direct::published::model::Name;
 use crate::direct::published::table::Table;
 use crate::direct::requests::choice::Unplaced;
@@ -134,7 +134,13 @@
     }
 
     /// A stage of a job is done.
-    pub fn stage_done(&mut self, job: JobId, from: SocketAddr, stage: usize, results: Vec<Made>) {
+    pub fn stage_done(
+        &mut self,
+        job: JobId,
+        from: SocketAddr,
+        stage: usize,
+        results: Vec<StoredResult>,
+    ) {
         if let Some((_, request)) = self.job(job, from)
             && let Some(slot) = request.results.get_mut(stage)
         {
@@ -256,7 +262,7 @@
         let begins = spec.after.iter().filter_map(|&after| ends.get(after)).max().copied();
         let has_pieces = request.incoming.pieces.get(stage).is_some_and(|&pieces| pieces > 0);
         let call =
-            table.batch(&spec.pool).filter(|_| has_pieces).map_or(Duration::ZERO, |b| b.call);
+            table.batch_spec(&spec.pool).filter(|_| has_pieces).map_or(Duration::ZERO, |b| b.call);
         ends.push(begins.unwrap_or_default() + call);
     }
     ends.into_iter().max().unwrap_or_default()
--- a/src/direct/shell.rs
+++ b/src/direct/shell.rs
@@ -24,7 +24,7 @@
 use crate::direct::event::{Action, CallParams, Event, IncomingRequest, PieceParams, Refusal};
 use crate::direct::gates::Gates;
 use crate::direct::log_events::{LogEvent, ms};
-use crate::direct::peers::links::Peers;
+use crate::direct::peers::links::PeerLinks;
 use crate::direct::published::model::{CallerLimits, Endpoint};
 use crate::direct::statement::{CallKind, Statement};
 use crate::direct::stream::EventSplitter;
@@ -234,7 +234,7 @@
 pub struct GatewayShell<C> {
     core: Handle<GatewayCore>,
     client: Arc<C>,
-    peers: Peers,
+    peers: PeerLinks,
     callers: Callers,
     state: watch::Sender<State>,
     lines: Lines,
@@ -247,7 +247,7 @@
     pub fn new(
         core: Handle<GatewayCore>,
         client: Arc<C>,
-        peers: Peers,
+        peers: PeerLinks,
         lines: Lines,
     ) -> (Self, Gateway) {
         let (state, receiver) = watch::channel(State::default());
@@ -467,8 +467,8 @@
             Action::Probe(endpoint) => self.probe(endpoint),
             // The core handles these itself before it returns its actions.
             Action::PoisonReport(_) | Action::RequestPermit(_) => {}
-            Action::Send { to, message } => self.peers.tell(to, message),
-            Action::Broadcast { to, message } => self.peers.spread(&to, message),
+            Action::Send { to, message } => self.peers.send(to, message),
+            Action::Broadcast { to, message } => self.peers.broadcast(&to, message),
             Action::Disconnect { from } => self.peers.disconnect(from),
             Action::SetReady(ready) => self.state.send_modify(|s| s.ready = ready),
             Action::SetStoreEra(era) => self.state.send_modify(|s| s.store_era = era),
--- a/src/direct/store_restore.rs
+++ b/src/direct/store_restore.rs
@@ -61,7 +61,7 @@
     fn log_restored(&mut self, before: Position, at: Position, merged: &Merged, source: &str) {
         let first_names =
             |names: &[Name]| names.iter().take(MAX_LOGGED_ENDPOINTS).cloned().collect::<Vec<_>>();
-        let leaving = merged.leaving_on.iter().map(|life| life.endpoint.clone());
+        let leaving = merged.departed.iter().map(|life| life.endpoint.clone());
         self.log(LogEvent::StoreReturned(StoreReturned {
             before: before.era,
             revision_before: before.revision,
@@ -69,8 +69,8 @@
             revision: at.revision,
             source: source.to_owned(),
             leaving: leaving.take(MAX_LOGGED_ENDPOINTS).collect(),
-            doubted: first_names(&merged.doubted),
-            lacked: first_names(&merged.lacked),
+            doubted: first_names(&merged.unconfirmed),
+            lacked: first_names(&merged.missing),
         }));
     }
 
@@ -79,7 +79,7 @@
     pub(super) fn compare_published(&mut self, documents: &[Revised]) {
         let version = documents.iter().rev().find_map(|revised| match &revised.document {
             Document::Deployment(deployment) => Some(deployment.version),
-            Document::Endpoint(_) | Document::Gone(_) => None,
+            Document::Endpoint(_) | Document::Removed(_) => None,
         });
         let Some(published) = version else {
             return;
--- a/testbed/src/frames.rs
+++ b/testbed/src/frames.rs
@@ -17,17 +17,19 @@
 use stackmast::direct::owner::producers::Usage;
 use stackmast::direct::peers::codec::{FORM, Outgoing};
 use stackmast::direct::peers::members::{Member, MemberState};
-use stackmast::direct::peers::message::{Job, JobId, JobReason, JobStage, Made, PeerMessage};
+use stackmast::direct::peers::message::{
+    Job, JobId, JobReason, JobStage, PeerMessage, StoredResult,
+};
 use stackmast::direct::poison::fingerprint::Fingerprint;
 use stackmast::direct::poison::suspects::{AnnouncedSuspect, Crash};
 use stackmast::direct::published::documents::{Document, Revised, Seen};
-use stackmast::direct::published::evacuations::{Evacuation, Evacuations};
-use stackmast::direct::published::homes::Homes;
+use stackmast::direct::published::evacuations::{EvacuationChange, Evacuations};
 use stackmast::direct::published::model::{
     BatchSpec, CallerLimits, ColdStart, Deployment, Endpoint, EngineSpec, Name, Organisation, Pool,
     Repeat, Route, StageSpec, Target, Work,
 };
 use stackmast::direct::published::position::Position;
+use stackmast::direct::published::regions::AllowedRegions;
 use stackmast::direct::statement::{RateLimit, RequestRate};
 
 /// The frames of one form.
@@ -86,8 +88,8 @@
     let frames = messages().into_iter().map(|message| {
         let kind = message.kind().to_owned();
         let outgoing = Outgoing::new(message);
-        let json = serde_json::from_slice(&outgoing.for_reader(None)).unwrap_or_default();
-        let compact = outgoing.for_reader(Some(FORM));
+        let json = serde_json::from_slice(&outgoing.encode_for(None)).unwrap_or_default();
+        let compact = outgoing.encode_for(Some(FORM));
         let compact = compact.iter().map(|byte| format!("{byte:02x}")).collect();
         (kind, Frame { json, compact })
     });
@@ -188,8 +190,8 @@
     Position::new(2, revision)
 }
 
-fn made() -> Made {
-    Made { handle: name("10.1.64.7:8080/91bd3f06e44"), endpoint: name("endpoint-2") }
+fn made() -> StoredResult {
+    StoredResult { handle: name("10.1.64.7:8080/91bd3f06e44"), endpoint: name("endpoint-2") }
 }
 
 fn heartbeat() -> PeerMessage {
@@ -200,7 +202,8 @@
         state: MemberState::Serving,
         capacity: 190,
     };
-    let order = Evacuation { data_centre: name("hall-1"), position: position(31), stands: true };
+    let order =
+        EvacuationChange { data_centre: name("hall-1"), position: position(31), in_force: true };
     let usage = Usage { endpoint: name("endpoint-2"), bytes: 96_000 };
     PeerMessage::Gossip {
         members: vec![member],
@@ -208,7 +211,7 @@
         complete: true,
         usage: vec![usage],
         late: Duration::from_millis(20),
-        evacuations: Evacuations::read(&[order], position(40)),
+        evacuations: Evacuations::from_read(&[order], position(40)),
         departures: vec![Departure::of(&endpoint())],
         limits: vec![limit()],
         era: 2,
@@ -244,7 +247,7 @@
         after: Duration::from_millis(280),
         priority: 2,
         data_centre: name("hall-1"),
-        homes: Homes::of(&[name("region-1")], &[]),
+        homes: AllowedRegions::of(&[name("region-1")], &[]),
         resubmitted: true,
         fingerprint: Fingerprint::of_content("POST", "/a/b", b"body"),
     }))
@@ -270,10 +273,14 @@
     let documents = vec![
         Revised {
             position: position(344),
-            made: 341,
+            created_revision: 341,
             document: Document::Endpoint(Arc::new(endpoint())),
         },
-        Revised { position: position(345), made: 0, document: Document::Gone(name("endpoint-3")) },
+        Revised {
+            position: position(345),
+            created_revision: 0,
+            document: Document::Removed(name("endpoint-3")),
+        },
     ];
     let deployment = Arc::new(deployment());
     vec![
@@ -288,7 +295,7 @@
         PeerMessage::Documents { documents, complete: true, seen: 345, era: 2 },
         submission(),
         PeerMessage::Accepted(job_id(7)),
-        PeerMessage::GivenUp {
+        PeerMessage::Cancelled {
             job: job_id(7),
             reason: JobReason::NoRoom,
             untouched: true,
@@ -305,6 +312,6 @@
             priority: 1,
             wait: Duration::from_millis(700),
         },
-        PeerMessage::Permit { number: 9, given: false, retry_after: Duration::from_millis(340) },
+        PeerMessage::Permit { number: 9, granted: false, retry_after: Duration::from_millis(340) },
     ]
 }
--- a/testbed/src/owner_load.rs
+++ b/testbed/src/owner_load.rs
@@ -16,10 +16,10 @@
 use stackmast::direct::owner::scheduler::Scheduler;
 use stackmast::direct::peers::message::{Job, JobId, JobStage, PeerMessage};
 use stackmast::direct::poison::fingerprint::Fingerprint;
-use stackmast::direct::published::homes::Homes;
 use stackmast::direct::published::model::{
     BatchSpec, CallerLimits, Deployment, Endpoint, Name, Pool, Work,
 };
+use stackmast::direct::published::regions::AllowedRegions;
 use stackmast::direct::published::table::Table;
 use stackmast::direct::repeats::RepeatBudget;
 
@@ -258,7 +258,7 @@
             after: Duration::from_millis(100),
             priority: 0,
             data_centre,
-            homes: Homes::default(),
+            homes: AllowedRegions::default(),
             resubmitted: false,
             fingerprint: Fingerprint::of_content("POST", &number.to_string(), b""),
         }
--- a/tests/direct_bulk.rs
+++ b/tests/direct_bulk.rs
@@ -9,7 +9,7 @@
 use directenv::{address, deployment};
 use stackmast::actor::{Handle, mailbox, run};
 use stackmast::direct::core::GatewayCore;
-use stackmast::direct::peers::links::{Peers, accept};
+use stackmast::direct::peers::links::{PeerLinks, accept};
 use stackmast::direct::peers::message::PeerMessage;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -21,16 +21,16 @@
     let at = listener.local_addr().expect("its address");
     let (core, waiting) = mailbox();
     tokio::spawn(run(new_core(), Idle, waiting));
-    let greeting = Peers::new(at, 1, core.clone()).greeting();
+    let greeting = PeerLinks::new(at, 1, core.clone()).greeting();
     tokio::spawn(accept(listener, core.clone(), greeting));
     (core, at)
 }
 
 /// What sends to other gateways.
-fn sender() -> Peers {
+fn sender() -> PeerLinks {
     let (core, waiting) = mailbox();
     tokio::spawn(run(new_core(), Idle, waiting));
-    Peers::new(address(9), 1, core)
+    PeerLinks::new(address(9), 1, core)
 }
 
 fn configuration(version: u64) -> PeerMessage {
@@ -80,7 +80,7 @@
 #[tokio::test]
 async fn a_configuration_comes_whole() {
     let (core, at) = gateway().await;
-    sender().tell(at, configuration(2));
+    sender().send(at, configuration(2));
     assert!(has(&core, 2).await);
 }
 
@@ -90,16 +90,16 @@
     let mut frozen = Vec::new();
     for _ in 0..2 {
         let listener = TcpListener::bind(address(0)).await.expect("a port");
-        peers.tell(listener.local_addr().expect("its address"), configuration(2));
+        peers.send(listener.local_addr().expect("its address"), configuration(2));
         frozen.push(listener.accept().await.expect("a connection"));
     }
     let third = TcpListener::bind(address(0)).await.expect("a port");
-    peers.tell(third.local_addr().expect("its address"), configuration(2));
+    peers.send(third.local_addr().expect("its address"), configuration(2));
     let (mut refused, _) = third.accept().await.expect("a connection");
     assert!(read(&mut refused).await.contains(r#""bulk":false"#));
     assert!(read(&mut refused).await.contains("NoConfiguration"));
     sleep(Duration::from_millis(2_500)).await;
-    peers.tell(third.local_addr().expect("its address"), configuration(2));
+    peers.send(third.local_addr().expect("its address"), configuration(2));
     let (mut served, _) =
         timeout(Duration::from_secs(1), third.accept()).await.expect("in time").expect("accepted");
     assert!(read(&mut served).await.contains(r#""bulk":true"#));
@@ -116,7 +116,7 @@
     stalled.write_u32(16_000).await.expect("a length");
     stalled.write_all(b"{").await.expect("a part of a chunk");
     assert!(closed(&mut stalled, Duration::from_secs(3)).await.is_some(), "stalled for ever");
-    sender().tell(at, configuration(2));
+    sender().send(at, configuration(2));
     assert!(has(&core, 2).await);
 }
 
@@ -126,7 +126,7 @@
     let mut older = hello(at, true).await;
     write(&mut older, b"{").await;
     sleep(Duration::from_millis(100)).await;
-    sender().tell(at, configuration(2));
+    sender().send(at, configuration(2));
     assert!(has(&core, 2).await);
     let took = closed(&mut older, Duration::from_secs(1)).await;
     assert!(took.is_some(), "the older goes on");
--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -66,11 +66,11 @@
 #[test]
 fn a_cell_that_is_alone_has_all_endpoints_and_others_their_own() {
     let small = table(&[5, 4, 4]);
-    assert!(small.cells().has("stages", "dc-2"));
+    assert!(small.cells().contains("stages", "dc-2"));
     let large = table(&[10, 10, 10]);
     let cell = large.cells().of_data_centre("dc-1");
-    assert!(large.cells().has(&cell, "dc-1"));
-    assert!(!large.cells().has(&cell, "dc-2"));
+    assert!(large.cells().contains(&cell, "dc-1"));
+    assert!(!large.cells().contains(&cell, "dc-2"));
     assert_eq!(large.cells().of_data_centre("elsewhere"), large.cells().of_data_centre("dc-0"));
 }
 
@@ -83,7 +83,7 @@
             Member { capacity, ..serving(port) }
         })
         .collect();
-    members.hear(&others, ms(0));
+    members.merge(&others, ms(0));
     members
 }
 
@@ -118,7 +118,7 @@
     for lost in firsts(&members(60, 30), &cells) {
         let mut members = members(60, 30);
         let before = firsts(&members, &cells);
-        assert!(members.broke(address(lost), 5, ms(1)));
+        assert!(members.mark_unreachable(address(lost), 5, ms(1)));
         let after = firsts(&members, &cells);
         let changed = before.iter().zip(&after).filter(|(b, a)| b != a).count();
         assert!((1..=2).contains(&changed), "{changed} cells moved with {lost}");
@@ -174,7 +174,11 @@
     let mut core = configured(vec![route]);
     let documents: Vec<Revised> = fleet(&[10, 10, 10])
         .into_iter()
-        .map(|e| Revised { position: position(3), made: 0, document: Document::Endpoint(e) })
+        .map(|e| Revised {
+            position: position(3),
+            created_revision: 0,
+            document: Document::Endpoint(e),
+        })
         .collect();
     core.handle(Event::Published { documents, snapshot_at: None }, ms(0));
     let strong = (2..=9).map(|port| Member { capacity: 9_000, ..serving(port) }).collect();
@@ -192,7 +196,7 @@
 
 fn refuse(core: &mut GatewayCore, from: std::net::SocketAddr, job: &Job, at: u64) -> Vec<Action> {
     let (reason, retry_after) = (JobReason::NoRoom, ms(300));
-    let message = PeerMessage::GivenUp { job: job.id, reason, untouched: true, retry_after };
+    let message = PeerMessage::Cancelled { job: job.id, reason, untouched: true, retry_after };
     core.handle(Event::PeerMessage { from, message }, ms(at))
 }
 
--- a/tests/direct_codec.rs
+++ b/tests/direct_codec.rs
@@ -4,14 +4,14 @@
 
 use directenv::gateway::{gossip, serving};
 use directenv::{job, route};
-use stackmast::direct::peers::codec::{FORM, Outgoing, Unread, read};
+use stackmast::direct::peers::codec::{FORM, Outgoing, Unreadable, read};
 use stackmast::direct::peers::message::PeerMessage;
 use stackmast::direct::published::model::Repeat;
 
 /// A message as a peer that reads this build's form gets it, and as any other does.
 fn both_forms(message: &PeerMessage) -> [bytes::Bytes; 2] {
     let outgoing = Outgoing::new(message.clone());
-    [Some(FORM), None].map(|form| outgoing.for_reader(form))
+    [Some(FORM), None].map(|form| outgoing.encode_for(form))
 }
 
 fn heartbeat(members: u16) -> PeerMessage {
@@ -48,14 +48,14 @@
 fn a_peer_that_reads_another_form_or_has_not_greeted_gets_json() {
     let outgoing = Outgoing::new(heartbeat(3));
     for form in [None, Some(0), Some(FORM - 1), Some(FORM + 1)] {
-        assert_eq!(outgoing.for_reader(form)[0], b'{');
+        assert_eq!(outgoing.encode_for(form)[0], b'{');
     }
-    assert_ne!(outgoing.for_reader(Some(FORM))[0], b'{');
+    assert_ne!(outgoing.encode_for(Some(FORM))[0], b'{');
 }
 
 #[test]
 fn what_is_none_is_passed_over() {
-    let unread = Err(Unread::Message { job: None });
+    let unread = Err(Unreadable::Message { job: None });
     for frame in [&b""[..], b"{", b"\"Nonsense\"", &[200, 1, 2], &[0, 255], &[0xc1], &[0xc1, 4]] {
         assert_eq!(read(frame, FORM), unread, "{frame:?}");
     }
@@ -67,9 +67,9 @@
     // The same bytes, said to be of a later form, or said by a greeting to be of an earlier one.
     let mut later = compact.to_vec();
     later[1] = 9;
-    assert_eq!(read(&later, FORM), Err(Unread::Form(9)));
-    assert_eq!(read(&compact[2..], 2), Err(Unread::Form(2)));
-    assert_eq!(read(&compact[2..], FORM), Err(Unread::Message { job: None }), "it has no mark");
+    assert_eq!(read(&later, FORM), Err(Unreadable::Form(9)));
+    assert_eq!(read(&compact[2..], 2), Err(Unreadable::Form(2)));
+    assert_eq!(read(&compact[2..], FORM), Err(Unreadable::Message { job: None }), "it has no mark");
 }
 
 #[test]
@@ -88,7 +88,7 @@
         serde_json::to_value(PeerMessage::Submit(Box::new(job.clone()))).expect("JSON");
     written["Submit"]["stages"] = "of a later build".into();
     let frame = serde_json::to_vec(&written).expect("JSON");
-    assert_eq!(read(&frame, FORM), Err(Unread::Message { job: Some(job.id) }));
+    assert_eq!(read(&frame, FORM), Err(Unreadable::Message { job: Some(job.id) }));
 }
 
 #[test]
--- a/tests/direct_cold.rs
+++ b/tests/direct_cold.rs
@@ -109,7 +109,7 @@
     }
     let mut core = new_core();
     let document = Document::Deployment(Arc::new(deployment));
-    let documents = vec![Revised { position: position(1), made: 0, document }];
+    let documents = vec![Revised { position: position(1), created_revision: 0, document }];
     core.handle(Event::Published { documents, snapshot_at: None }, ms(0));
     let documents = listed(&[cold(1, 0), cold(2, 0)], 2);
     core.handle(Event::Published { documents, snapshot_at: Some(position(2)) }, ms(0));
--- a/tests/direct_come_back.rs
+++ b/tests/direct_come_back.rs
@@ -43,9 +43,9 @@
         };
         let address = address(2 + number as u16);
         let member = Member { address, incarnation: 5, heartbeat: 1, state, capacity: 1_000 };
-        members.hear(&[member], at(since));
+        members.merge(&[member], at(since));
         if matches!(other, Other::Dead(_)) {
-            assert!(members.broke(address, 5, at(since)));
+            assert!(members.mark_unreachable(address, 5, at(since)));
         }
     }
     members
@@ -82,8 +82,8 @@
     let state = MemberState::Serving;
     let member =
         Member { address: address(2), incarnation: 5, heartbeat: 1, state, capacity: 1_000 };
-    members.hear(&[member], lost);
-    members.broke(address(2), 5, lost);
+    members.merge(&[member], lost);
+    members.mark_unreachable(address(2), 5, lost);
     let after = retry_after(&Stop::new(signal, GRACE), &members, signal + ms(1_000));
     assert!(after >= RESTART, "{after:?}, where nobody serves for the next {:?}", ms(3_600));
 }
--- a/tests/direct_departures.rs
+++ b/tests/direct_departures.rs
@@ -18,7 +18,7 @@
 use stackmast::direct::event::{Action, Event};
 use stackmast::direct::log_events::LogEvent;
 use stackmast::direct::published::documents::{Document, Revised};
-use stackmast::direct::published::evacuations::Evacuation;
+use stackmast::direct::published::evacuations::EvacuationChange;
 use stackmast::direct::published::model::Endpoint;
 use stackmast::direct::statement::{Backoff, CallKind};
 use test_case::test_case;
@@ -58,8 +58,8 @@
     assert!(!gets_any(&mut core, "engine-1", 100, 30));
     let gone = vec![Revised {
         position: position(51),
-        made: 0,
-        document: Document::Gone("engine-1".into()),
+        created_revision: 0,
+        document: Document::Removed("engine-1".into()),
     }];
     core.handle(Event::Published { documents: gone, snapshot_at: None }, ms(40));
     enter(&mut core, &engine(1), 52, 50);
@@ -72,11 +72,11 @@
     says(&mut core, &engine(1), LEAVES, 10);
     publish(&mut core, deployment(9, routes()), ms(20));
     assert!(!gets_any(&mut core, "engine-1", 100, 30));
-    for (revision, stands) in [(70, true), (71, false)] {
-        let order = Evacuation {
+    for (revision, in_force) in [(70, true), (71, false)] {
+        let order = EvacuationChange {
             data_centre: engine(1).data_centre.clone(),
             position: position(revision),
-            stands,
+            in_force,
         };
         let changes = vec![order];
         core.handle(Event::Evacuations { changes, snapshot_at: None }, ms(revision));
--- a/tests/direct_eras.rs
+++ b/tests/direct_eras.rs
@@ -15,7 +15,7 @@
 use stackmast::direct::log_events::{LogEvent, PublishedVersion, StoreEra, StoreReturned};
 use stackmast::direct::peers::message::PeerMessage;
 use stackmast::direct::published::documents::{Document, Documents, EntryState, Revised, Seen};
-use stackmast::direct::published::evacuations::{Evacuation, Evacuations};
+use stackmast::direct::published::evacuations::{EvacuationChange, Evacuations};
 use stackmast::direct::published::model::{Endpoint, Repeat};
 use stackmast::direct::published::position::{Eras, Position};
 use test_case::test_case;
@@ -32,8 +32,8 @@
     Position::new(AFTER, revision)
 }
 
-fn entry(endpoint: Arc<Endpoint>, position: Position, made: u64) -> Revised {
-    Revised { position, made, document: Document::Endpoint(endpoint) }
+fn entry(endpoint: Arc<Endpoint>, position: Position, created_revision: u64) -> Revised {
+    Revised { position, created_revision, document: Document::Endpoint(endpoint) }
 }
 
 /// The first endpoint in a life.
@@ -42,7 +42,7 @@
 }
 
 fn gone(position: Position) -> Revised {
-    Revised { position, made: 0, document: Document::Gone("engine-1".into()) }
+    Revised { position, created_revision: 0, document: Document::Removed("engine-1".into()) }
 }
 
 /// A list that stood before: the first endpoint, created at 10 and changed at 80.
@@ -54,7 +54,7 @@
 }
 
 fn entry_state(documents: &Documents) -> EntryState {
-    documents.state("engine-1")
+    documents.entry_state("engine-1")
 }
 
 #[test]
@@ -77,10 +77,10 @@
 fn bare_revisions_are_of_the_only_era_and_older_than_all_after_it() {
     let mut eras = Eras::default();
     eras.observe(BEFORE);
-    assert_eq!(eras.adopt(Position::new(0, 7)), before(7));
+    assert_eq!(eras.resolve(Position::new(0, 7)), before(7));
     eras.observe(AFTER);
-    assert!(eras.adopt(Position::new(0, 1_000)) < before(1));
-    assert_eq!(eras.adopt(before(7)), before(7));
+    assert!(eras.resolve(Position::new(0, 1_000)) < before(1));
+    assert_eq!(eras.resolve(before(7)), before(7));
 }
 
 #[test]
@@ -100,7 +100,7 @@
     let mut documents = listed(1, true);
     let copied = entry(living(incarnation, false), after(30), 10);
     let merged = documents.merge_list(vec![copied], after(40), ms(10));
-    assert_eq!(merged.leaving_on.len(), leaving_on);
+    assert_eq!(merged.departed.len(), leaving_on);
 }
 
 #[test]
@@ -109,7 +109,7 @@
     documents.merge(vec![gone(before(95))], ms(5));
     let copied = entry(living(1, false), after(30), 10);
     let merged = documents.merge_list(vec![copied], after(40), ms(10));
-    assert_eq!(merged.leaving_on.len(), 1);
+    assert_eq!(merged.departed.len(), 1);
 }
 
 #[test_case(1, 80, 10, false; "as it stood before it was gone")]
@@ -127,7 +127,7 @@
     documents.merge(vec![gone(before(95))], ms(5));
     let copied = entry(living(incarnation, false), after(revision), made);
     let merged = documents.merge_list(vec![copied], after(130), ms(10));
-    assert_eq!(merged.doubted.is_empty(), is_believed);
+    assert_eq!(merged.unconfirmed.is_empty(), is_believed);
     assert_eq!(entry_state(&documents) == EntryState::Listed, is_believed);
     documents.expire(ms(4_900));
     assert_eq!(entry_state(&documents) == EntryState::Listed, is_believed);
@@ -142,7 +142,7 @@
     documents.merge_list(vec![entry(living(1, false), after(80), 10)], after(85), ms(10));
     documents.merge(vec![gone(after(90))], ms(3_000));
     documents.expire(ms(6_000));
-    assert_eq!(entry_state(&documents), EntryState::Gone);
+    assert_eq!(entry_state(&documents), EntryState::Removed);
 }
 
 #[test]
@@ -152,12 +152,12 @@
     documents.merge_list(vec![entry(living(1, false), after(80), 10)], after(85), ms(10));
     documents.merge_list(Vec::new(), after(90), ms(3_000));
     documents.expire(ms(6_000));
-    assert_eq!(entry_state(&documents), EntryState::Gone);
+    assert_eq!(entry_state(&documents), EntryState::Removed);
 }
 
-#[test_case(10, EntryState::Gone; "the copy had it, so it was taken away since")]
-#[test_case(60, EntryState::Lapsed; "it was created after the copy")]
-#[test_case(0, EntryState::Lapsed; "nobody knows when it was created")]
+#[test_case(10, EntryState::Removed; "the copy had it, so it was taken away since")]
+#[test_case(60, EntryState::Expired; "it was created after the copy")]
+#[test_case(0, EntryState::Expired; "nobody knows when it was created")]
 fn what_a_copy_lacks_is_used_until_it_was_due_to_be_written_again(made: u64, state: EntryState) {
     let mut documents = Documents::default();
     let known = entry(living(1, false), before(80), made);
@@ -175,9 +175,9 @@
 fn what_a_copy_lacks_and_nobody_writes_again_is_gone() {
     let mut documents = listed(1, false);
     documents.merge_list(Vec::new(), after(5), ms(10));
-    assert_eq!(entry_state(&documents), EntryState::Lapsed);
+    assert_eq!(entry_state(&documents), EntryState::Expired);
     documents.expire(ms(3_010));
-    assert_eq!(entry_state(&documents), EntryState::Gone);
+    assert_eq!(entry_state(&documents), EntryState::Removed);
 }
 
 #[test]
@@ -198,7 +198,7 @@
 fn publish(core: &mut GatewayCore, version: u64, at: Position, now: u64) -> Vec<Action> {
     let routes = vec![route("r", Repeat::Idempotent, &[])];
     let configured = Document::Deployment(Arc::new(deployment(version, routes)));
-    let documents = vec![Revised { position: at, made: 1, document: configured }];
+    let documents = vec![Revised { position: at, created_revision: 1, document: configured }];
     let mut actions = core.handle(Event::StoreEra { era: at.era }, ms(now));
     actions.extend(core.handle(Event::Published { documents, snapshot_at: None }, ms(now)));
     let listed = endpoints().into_iter().map(|endpoint| entry(endpoint, at, 1)).collect();
@@ -329,8 +329,8 @@
     assert!(lines(&publish(&mut core, 12, after(42), 950)).is_empty());
 }
 
-fn order(position: Position, stands: bool) -> Evacuation {
-    Evacuation { data_centre: "hall-0".into(), position, stands }
+fn order(position: Position, in_force: bool) -> EvacuationChange {
+    EvacuationChange { data_centre: "hall-0".into(), position, in_force }
 }
 
 /// Whether an endpoint of the first data centre takes no new work.
@@ -340,7 +340,7 @@
 
 fn evacuations(
     core: &mut GatewayCore,
-    changes: Vec<Evacuation>,
+    changes: Vec<EvacuationChange>,
     snapshot_at: Option<Position>,
     now: u64,
 ) {
@@ -388,7 +388,7 @@
 /// An account of a build that knows no eras.
 fn without_era(revision: u64, stands: bool) -> Evacuations {
     let change = order(Position::new(0, revision), stands);
-    Evacuations::read(&[change], Position::new(0, revision))
+    Evacuations::from_read(&[change], Position::new(0, revision))
 }
 
 #[test]
--- a/tests/direct_evacuations.rs
+++ b/tests/direct_evacuations.rs
@@ -15,15 +15,15 @@
 use stackmast::direct::event::{Action, Event, Refused};
 use stackmast::direct::log_events::LogEvent;
 use stackmast::direct::peers::message::PeerMessage;
-use stackmast::direct::published::evacuations::{Evacuation, Evacuations};
+use stackmast::direct::published::evacuations::{EvacuationChange, Evacuations};
 use stackmast::direct::published::model::{Endpoint, Repeat};
 use test_case::test_case;
 
-fn change(data_centre: &str, revision: u64, stands: bool) -> Evacuation {
-    Evacuation { data_centre: data_centre.into(), position: position(revision), stands }
+fn change(data_centre: &str, revision: u64, in_force: bool) -> EvacuationChange {
+    EvacuationChange { data_centre: data_centre.into(), position: position(revision), in_force }
 }
 
-fn ordered(core: &mut GatewayCore, change: Evacuation, now: Duration) -> Vec<Action> {
+fn ordered(core: &mut GatewayCore, change: EvacuationChange, now: Duration) -> Vec<Action> {
     core.handle(Event::Evacuations { changes: vec![change], snapshot_at: None }, now)
 }
 
@@ -59,7 +59,7 @@
         matches!(a, Action::Log(LogEvent::Evacuation { stands: true, endpoints: 4, .. }))
     };
     assert_eq!(actions.iter().filter(noted).count(), 1, "on-call is told");
-    let spread = |a: &&Action| matches!(a, Action::Broadcast { message: PeerMessage::Gossip { evacuations, .. }, .. } if evacuations.standing().contains("hall-0"));
+    let spread = |a: &&Action| matches!(a, Action::Broadcast { message: PeerMessage::Gossip { evacuations, .. }, .. } if evacuations.evacuated().contains("hall-0"));
     assert_eq!(actions.iter().filter(spread).count(), 1, "and the peers, at once");
     assert_eq!(reached(&mut core, 10, ms(3)), ["hall-1"]);
     ordered(&mut core, change("hall-0", 4, false), ms(4));
@@ -72,7 +72,7 @@
 fn a_gateway_that_starts_learns_of_an_order_from_its_peers() {
     let mut core = new_core();
     let mut known = Evacuations::default();
-    known.change(&change("hall-0", 5, true));
+    known.apply(&change("hall-0", 5, true));
     told(&mut core, &known, ms(1));
     publish(&mut core, deployment(1, vec![route("r", Repeat::Idempotent, &[])]), ms(2));
     assert_eq!(reached(&mut core, 1, ms(3)), ["hall-1"]);
@@ -87,11 +87,11 @@
 fn a_peer_that_has_not_heard_of_its_end_does_not_bring_an_order_back() {
     let mut core = core();
     let mut known = Evacuations::default();
-    known.change(&change("hall-0", 5, true));
+    known.apply(&change("hall-0", 5, true));
     core.handle(Event::Evacuations { changes: Vec::new(), snapshot_at: Some(position(8)) }, ms(1));
     told(&mut core, &known, ms(2));
     assert_eq!(reached(&mut core, 1, ms(3)), ["hall-0", "hall-1"], "at 8 it did not stand");
-    known.change(&change("hall-0", 9, true));
+    known.apply(&change("hall-0", 9, true));
     told(&mut core, &known, ms(4));
     assert_eq!(reached(&mut core, 10, ms(5)), ["hall-1"], "but at 9 it does");
 }
@@ -140,9 +140,9 @@
 fn orders_for_any_number_of_places_are_kept_within_bounds() {
     let mut known = Evacuations::default();
     for number in 0..1_000 {
-        known.change(&change(&format!("place-{number}"), number + 1, number % 2 == 0));
+        known.apply(&change(&format!("place-{number}"), number + 1, number % 2 == 0));
     }
-    assert!(known.standing().len() <= 64);
+    assert!(known.evacuated().len() <= 64);
     let mut core = core();
     let mut told = 0;
     for number in 0..100 {
@@ -185,7 +185,7 @@
         let read_at = |revision: u64| {
             let standing = standing_at(revision);
             let changes: Vec<_> = standing.iter().map(|(n, at)| change(n, *at, true)).collect();
-            Evacuations::read(&changes, position(revision))
+            Evacuations::from_read(&changes, position(revision))
         };
         let mut processes = vec![Evacuations::default(); 4];
         let mut talk = told.iter().cycle();
@@ -195,7 +195,7 @@
                 processes[process].merge(&read_at(at as u64 + 1));
             } else {
                 let (place, stands) = history[at];
-                processes[process].change(&change(&name(place), at as u64 + 1, stands));
+                processes[process].apply(&change(&name(place), at as u64 + 1, stands));
             }
             if let Some((from, to)) = talk.next() {
                 let from = processes[*from].clone();
@@ -210,7 +210,7 @@
         }
         let truth: Vec<String> = standing_at(last).into_keys().collect();
         for process in &processes {
-            let standing: Vec<String> = process.standing().iter().map(ToString::to_string).collect();
+            let standing: Vec<String> = process.evacuated().iter().map(ToString::to_string).collect();
             prop_assert_eq!(&standing, &truth);
         }
         let (mut forth, mut back) = (processes[1].clone(), processes[2].clone());
--- a/tests/direct_gates.rs
+++ b/tests/direct_gates.rs
@@ -16,7 +16,7 @@
 };
 use stackmast::direct::event::{CallParams, Event, PieceParams};
 use stackmast::direct::gates::Gates;
-use stackmast::direct::peers::links::Peers;
+use stackmast::direct::peers::links::PeerLinks;
 use stackmast::direct::peers::message::Handle;
 use stackmast::direct::published::documents::{Document, Revised};
 use stackmast::direct::published::model::{Endpoint, Repeat};
@@ -126,14 +126,14 @@
     let calls = AtomicUsize::new(0);
     let client = Said { statement, held: held.clone(), calls, went_out: went_out.clone() };
     let (core, waiting) = mailbox();
-    let peers = Peers::new(address(9), 1, core.clone());
+    let peers = PeerLinks::new(address(9), 1, core.clone());
     let lines = Lines::new("test");
     let (shell, gateway) = GatewayShell::new(core.clone(), Arc::new(client), peers, lines);
     tokio::spawn(run(new_core(), shell, waiting));
     let routes = vec![route("r", Repeat::Idempotent, &[])];
     let document = Document::Deployment(Arc::new(deployment(1, routes)));
     let mut documents = listed(&[endpoint("engine", 1)], 2);
-    documents.push(Revised { position: position(1), made: 0, document });
+    documents.push(Revised { position: position(1), created_revision: 0, document });
     core.send(Event::Published { documents, snapshot_at: Some(position(2)) })
         .await
         .expect("a core");
--- a/tests/direct_homes.rs
+++ b/tests/direct_homes.rs
@@ -10,8 +10,8 @@
 use stackmast::direct::core::GatewayCore;
 use stackmast::direct::event::{Action, Event, Refused};
 use stackmast::direct::published::documents::{Document, Revised};
-use stackmast::direct::published::homes::REGION_LABEL;
 use stackmast::direct::published::model::{Endpoint, Name, Repeat};
+use stackmast::direct::published::regions::REGION_LABEL;
 use test_case::test_case;
 
 /// The endpoints of hall-0 stand in the east, those of hall-1 in the west.
@@ -40,7 +40,7 @@
     }
     let mut core = new_core();
     let document = Document::Deployment(Arc::new(deployment));
-    let documents = vec![Revised { position: position(1), made: 0, document }];
+    let documents = vec![Revised { position: position(1), created_revision: 0, document }];
     core.handle(Event::Published { documents, snapshot_at: None }, ms(0));
     let documents = listed(&placed(), 2);
     core.handle(Event::Published { documents, snapshot_at: Some(position(2)) }, ms(0));
--- a/tests/direct_limits.rs
+++ b/tests/direct_limits.rs
@@ -389,8 +389,8 @@
     let number = of_the_other(&mut core, 500);
     let later = 9_000;
     core.handle(Event::Tick, ms(later));
-    let (given, retry_after) = (true, Duration::ZERO);
-    let message = PeerMessage::Permit { number, given, retry_after };
+    let (granted, retry_after) = (true, Duration::ZERO);
+    let message = PeerMessage::Permit { number, granted, retry_after };
     let actions = core.handle(Event::PeerMessage { from: address(1), message }, ms(later));
     assert!(calls(&actions).is_empty());
 }
@@ -399,8 +399,8 @@
 fn nobody_else_decides() {
     let (_, mut core) = two();
     let number = of_the_other(&mut core, 500);
-    let (given, retry_after) = (true, Duration::ZERO);
-    let message = PeerMessage::Permit { number, given, retry_after };
+    let (granted, retry_after) = (true, Duration::ZERO);
+    let message = PeerMessage::Permit { number, granted, retry_after };
     let event = |from| Event::PeerMessage { from: address(from), message: message.clone() };
     assert!(calls(&core.handle(event(7), ms(530))).is_empty());
     assert_eq!(calls(&core.handle(event(1), ms(531))).len(), 1);
@@ -411,7 +411,7 @@
     let mut members = Members::new(address(1), 1, 1_000, Vec::new());
     members.set_state(MemberState::Serving);
     let alive: Vec<Member> = (2..2 + others).map(serving).collect();
-    members.hear(&alive, ms(0));
+    members.merge(&alive, ms(0));
     members
 }
 
@@ -419,20 +419,20 @@
 fn a_limiter_gives_the_parts_of_those_that_it_hears() {
     let mut members = settled(9);
     let all = |_: &Member| true;
-    assert!((members.part_heard(all, ms(500)) - 0.1).abs() < 1e-9, "not yet settled");
-    assert!((members.part_heard(all, ms(1_000)) - 1.0).abs() < 1e-9);
+    assert!((members.reachable_share(all, ms(500)) - 0.1).abs() < 1e-9, "not yet settled");
+    assert!((members.reachable_share(all, ms(1_000)) - 1.0).abs() < 1e-9);
     for port in 2..=5 {
-        members.broke(address(port), serving(port).incarnation, ms(1_100));
+        members.mark_unreachable(address(port), serving(port).incarnation, ms(1_100));
     }
-    assert!((members.part_heard(all, ms(1_200)) - 0.6).abs() < 1e-9);
+    assert!((members.reachable_share(all, ms(1_200)) - 0.6).abs() < 1e-9);
     let reads = |member: &Member| member.address != address(10);
-    assert!((members.part_heard(reads, ms(1_200)) - 0.5).abs() < 1e-9, "another build");
+    assert!((members.reachable_share(reads, ms(1_200)) - 0.5).abs() < 1e-9, "another build");
     // What fell silent may live on behind a cut for long after it is forgotten as a member.
     let heartbeat = |port| Member { heartbeat: 900, ..serving(port) };
     let alive: Vec<Member> = (6..=10).map(heartbeat).collect();
-    members.hear(&alive, ms(70_000));
+    members.merge(&alive, ms(70_000));
     members.expire(ms(70_100));
-    assert!((members.part_heard(all, ms(72_000)) - 0.6).abs() < 1e-9);
+    assert!((members.reachable_share(all, ms(72_000)) - 0.6).abs() < 1e-9);
 }
 
 #[test]
@@ -444,7 +444,7 @@
         let what = format!("engine-{what}");
         let (first, from) = members.limiter(&what, all).expect("one");
         assert_eq!(from, ms(0));
-        if !members.broke(first, serving(first.port()).incarnation, ms(5_000)) {
+        if !members.mark_unreachable(first, serving(first.port()).incarnation, ms(5_000)) {
             continue;
         }
         let (next, from) = members.limiter(&what, all).expect("another");
--- a/tests/direct_links.rs
+++ b/tests/direct_links.rs
@@ -13,7 +13,7 @@
 use directenv::{address, ms};
 use stackmast::actor::{Core, mailbox, run};
 use stackmast::direct::event::{Action, Event};
-use stackmast::direct::peers::links::{Peers, accept};
+use stackmast::direct::peers::links::{PeerLinks, accept};
 use stackmast::direct::peers::members::{Member, MemberState};
 use stackmast::direct::peers::message::PeerMessage;
 use test_case::test_case;
@@ -73,14 +73,14 @@
     let to = listener.local_addr().expect("its address");
     let (core, waiting) = mailbox();
     tokio::spawn(run(new_core(), Idle, waiting));
-    let peers = Peers::new(address(9), 1, core);
-    peers.tell(to, PeerMessage::NoConfiguration);
+    let peers = PeerLinks::new(address(9), 1, core);
+    peers.send(to, PeerMessage::NoConfiguration);
     let (mut silent, _) = listener.accept().await.expect("the first connection");
     peers.disconnect(to);
     let mut rest = Vec::new();
     let closed = timeout(Duration::from_secs(1), silent.read_to_end(&mut rest)).await;
     assert!(closed.is_ok(), "the first is closed");
-    peers.tell(to, PeerMessage::NoConfiguration);
+    peers.send(to, PeerMessage::NoConfiguration);
     let second = timeout(Duration::from_secs(1), listener.accept()).await;
     assert!(second.is_ok(), "a second one is made");
 }
@@ -91,7 +91,7 @@
     let at = listener.local_addr().expect("its address");
     let (core, waiting) = mailbox();
     tokio::spawn(run(new_core(), Idle, waiting));
-    let greeting = Peers::new(at, 1, core.clone()).greeting();
+    let greeting = PeerLinks::new(at, 1, core.clone()).greeting();
     tokio::spawn(accept(listener, core, greeting));
     let mut stream = TcpStream::connect(at).await.expect("a connection");
     let hello = br#"{"address":"127.0.0.1:9","incarnation":1}"#;
--- a/tests/direct_members.rs
+++ b/tests/direct_members.rs
@@ -9,7 +9,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use stackmast::direct::owner::producers::{Producers, Usage};
-use stackmast::direct::peers::members::{Heard, Member, MemberState, Members};
+use stackmast::direct::peers::members::{Member, MemberState, Members, MembershipChanges};
 use stackmast::direct::published::documents::{Document, Documents, EntryState, Revised, Seen};
 use stackmast::direct::repeats::{RepeatBudget, RepeatLimiter};
 use stackmast::direct::stop::others_serve;
@@ -24,7 +24,7 @@
     let mut members = Members::new(address(1), 1, 1_000, Vec::new());
     members.set_state(MemberState::Serving);
     let serving = MemberState::Serving;
-    members.hear(&[member(2, 5, 1, serving), member(3, 5, 1, serving)], ms(0));
+    members.merge(&[member(2, 5, 1, serving), member(3, 5, 1, serving)], ms(0));
     members
 }
 
@@ -35,7 +35,7 @@
     let next = members.owner("stages", &[owner.address]).expect("another owner");
     assert_ne!(owner.address, next.address);
     if owner.address != address(1) {
-        assert!(members.broke(owner.address, owner.incarnation, ms(10)));
+        assert!(members.mark_unreachable(owner.address, owner.incarnation, ms(10)));
         assert_eq!(members.owner("stages", &[]).expect("the next").address, next.address);
     }
 }
@@ -47,7 +47,7 @@
         let mut seen = std::collections::BTreeSet::new();
         for what in 0..50 {
             let mut members = three();
-            members.hear(&[strong(2, others[0]), strong(3, others[1])], ms(10));
+            members.merge(&[strong(2, others[0]), strong(3, others[1])], ms(10));
             let owner = members.owner(&format!("pool-{what}"), &[]).expect("an owner");
             seen.insert(owner.address.port());
         }
@@ -60,9 +60,9 @@
     let mut members = three();
     let leaving = MemberState::Leaving;
     members.set_state(leaving);
-    members.hear(&[member(2, 5, 2, leaving)], ms(10));
+    members.merge(&[member(2, 5, 2, leaving)], ms(10));
     assert_eq!(members.owner("stages", &[]).expect("the one that serves").address, address(3));
-    members.hear(&[member(3, 5, 2, leaving)], ms(20));
+    members.merge(&[member(3, 5, 2, leaving)], ms(20));
     assert!(members.owner("stages", &[]).is_some(), "one of those that leave");
     assert!(!others_serve(&members, ms(5_000)), "nobody serves");
 }
@@ -72,22 +72,25 @@
     let mut members = three();
     assert!(members.expire(ms(900)).is_empty());
     assert_eq!(members.expire(ms(1_000)).len(), 2);
-    assert_eq!(members.alive().count(), 0);
-    assert_eq!(members.known(), 3, "the budget's share does not grow by silence");
-    let back = members.hear(&[member(2, 5, 9, MemberState::Serving)], ms(1_100));
-    assert_eq!(back.alive.len(), 1);
+    assert_eq!(members.up().count(), 0);
+    assert_eq!(members.known_count(), 3, "the budget's share does not grow by silence");
+    let back = members.merge(&[member(2, 5, 9, MemberState::Serving)], ms(1_100));
+    assert_eq!(back.joined.len(), 1);
 }
 
 #[test]
 fn old_news_do_not_bring_a_member_back() {
     let mut members = three();
-    members.hear(&[member(2, 5, 8, MemberState::Serving)], ms(100));
-    assert!(members.broke(address(2), 5, ms(200)));
-    assert_eq!(members.hear(&[member(2, 5, 7, MemberState::Serving)], ms(300)), Heard::default());
-    assert!(!members.is_alive(address(2), 5));
+    members.merge(&[member(2, 5, 8, MemberState::Serving)], ms(100));
+    assert!(members.mark_unreachable(address(2), 5, ms(200)));
+    assert_eq!(
+        members.merge(&[member(2, 5, 7, MemberState::Serving)], ms(300)),
+        MembershipChanges::default()
+    );
+    assert!(!members.is_up(address(2), 5));
     let next_life = member(2, 4, 1, MemberState::Starting);
     assert_eq!(
-        members.hear(&[next_life], ms(400)).alive.len(),
+        members.merge(&[next_life], ms(400)).joined.len(),
         1,
         "also where the clock stepped back"
     );
@@ -99,35 +102,35 @@
     assert!(members.suspect(address(2), 5, ms(100)));
     assert!(members.suspect(address(3), 5, ms(100)));
     assert!(!members.suspect(address(3), 4, ms(100)), "another life's connection");
-    members.hear(&[member(2, 5, 2, MemberState::Serving)], ms(300));
+    members.merge(&[member(2, 5, 2, MemberState::Serving)], ms(300));
     assert_eq!(members.next_suspicion(), Some(ms(700)));
     assert!(members.expire(ms(699)).is_empty());
     let lost = members.expire(ms(700));
     assert_eq!(lost.iter().map(|m| m.address).collect::<Vec<_>>(), [address(3)]);
-    assert!(members.is_alive(address(2), 5));
+    assert!(members.is_up(address(2), 5));
 }
 
 #[test]
 fn a_member_that_was_restarted_has_lost_its_life_before() {
     let mut members = three();
-    let heard = members.hear(&[member(2, 6, 1, MemberState::Starting)], ms(100));
-    assert_eq!(heard.ended, [member(2, 5, 1, MemberState::Serving)]);
-    assert_eq!(heard.alive.len(), 1);
+    let heard = members.merge(&[member(2, 6, 1, MemberState::Starting)], ms(100));
+    assert_eq!(heard.replaced, [member(2, 5, 1, MemberState::Serving)]);
+    assert_eq!(heard.joined.len(), 1);
 }
 
 #[test]
 fn seeds_are_asked_until_they_are_heard() {
     let mut members = Members::new(address(1), 1, 1_000, vec![address(1), address(2)]);
     let mut rng = StdRng::seed_from_u64(1);
-    assert_eq!(members.beat(&mut rng), [address(2)]);
-    members.hear(&[member(2, 1, 1, MemberState::Starting)], ms(0));
-    assert_eq!(members.beat(&mut rng), [address(2)], "as a member now, once");
+    assert_eq!(members.next_heartbeat(&mut rng), [address(2)]);
+    members.merge(&[member(2, 1, 1, MemberState::Starting)], ms(0));
+    assert_eq!(members.next_heartbeat(&mut rng), [address(2)], "as a member now, once");
 }
 
 fn entry(number: u16, revision: u64) -> Revised {
     Revised {
         position: position(revision),
-        made: 0,
+        created_revision: 0,
         document: Document::Endpoint(endpoint("engine", number)),
     }
 }
@@ -135,8 +138,8 @@
 fn gone(number: u16, revision: u64) -> Revised {
     Revised {
         position: position(revision),
-        made: 0,
-        document: Document::Gone(format!("engine-{number}").into()),
+        created_revision: 0,
+        document: Document::Removed(format!("engine-{number}").into()),
     }
 }
 
@@ -171,8 +174,8 @@
 fn lapsed_after(absence: u64) -> Documents {
     let mut documents = Documents::default();
     documents.merge_list((1..=6).map(|n| entry(n, u64::from(n))).collect(), position(6), ms(0));
-    documents.publisher(false, ms(1_000));
-    documents.publisher(true, ms(1_000 + absence));
+    documents.set_publisher_available(false, ms(1_000));
+    documents.set_publisher_available(true, ms(1_000 + absence));
     documents.merge_list(vec![entry(1, 1), entry(6, 6)], position(10), ms(1_000 + absence));
     documents
 }
@@ -185,7 +188,7 @@
 fn entries_that_lapsed_while_the_publisher_was_away_are_used_until_they_are_back() {
     let mut documents = lapsed_after(4_000);
     assert_eq!(documents.endpoints().count(), 6);
-    assert_eq!(documents.state("engine-2"), EntryState::Lapsed);
+    assert_eq!(documents.entry_state("engine-2"), EntryState::Expired);
     let back = documents.merge(vec![entry(2, 11)], ms(5_800));
     assert!(!back.is_empty());
     assert_eq!(documents.next_expiry(), Some(ms(7_000)));
@@ -212,7 +215,7 @@
 fn an_entry_that_lapsed_is_gone_in_the_end_though_peers_tell_so_once_more() {
     let mut documents = lapsed_after(4_000);
     documents.merge(vec![gone(2, 14)], ms(5_100));
-    assert_eq!(documents.state("engine-2"), EntryState::Lapsed);
+    assert_eq!(documents.entry_state("engine-2"), EntryState::Expired);
     let expired = documents.expire(ms(7_000));
     assert!(expired.endpoints.contains(&"engine-2".into()), "whoever uses it is told");
     assert_eq!(ids(&documents), ["engine-1", "engine-6"]);
@@ -224,12 +227,14 @@
     let mut leaving = (*endpoint("engine", 1)).clone();
     leaving.leaving = true;
     let leaving = Document::Endpoint(Arc::new(leaving));
-    documents
-        .merge(vec![Revised { position: position(12), made: 0, document: leaving }], ms(1_100));
-    documents.publisher(false, ms(2_000));
-    documents.publisher(true, ms(6_000));
+    documents.merge(
+        vec![Revised { position: position(12), created_revision: 0, document: leaving }],
+        ms(1_100),
+    );
+    documents.set_publisher_available(false, ms(2_000));
+    documents.set_publisher_available(true, ms(6_000));
     documents.merge(vec![gone(1, 13)], ms(6_000));
-    assert_eq!(documents.state("engine-1"), EntryState::Gone);
+    assert_eq!(documents.entry_state("engine-1"), EntryState::Removed);
 }
 
 #[test_case(0, &[2]; "the publisher was never away")]
@@ -237,8 +242,8 @@
 fn one_entry_that_goes_is_gone_at_once(absence: u64, numbers: &[u16]) {
     let mut documents = Documents::default();
     documents.merge_list((1..=6).map(|n| entry(n, u64::from(n))).collect(), position(6), ms(0));
-    documents.publisher(false, ms(1_000));
-    documents.publisher(true, ms(1_000 + absence));
+    documents.set_publisher_available(false, ms(1_000));
+    documents.set_publisher_available(true, ms(1_000 + absence));
     documents.merge(numbers.iter().map(|n| gone(*n, 20)).collect(), ms(1_000 + absence));
     assert_eq!(documents.endpoints().count(), 5);
 }
@@ -257,7 +262,10 @@
 fn a_peer_gets_what_it_lacks() {
     let mut documents = Documents::default();
     let deployment = Document::Deployment(Arc::new(deployment(3, Vec::new())));
-    documents.merge(vec![Revised { position: position(2), made: 0, document: deployment }], ms(0));
+    documents.merge(
+        vec![Revised { position: position(2), created_revision: 0, document: deployment }],
+        ms(0),
+    );
     documents.merge_list(vec![entry(1, 3), entry(2, 4)], position(4), ms(0));
     let since = Seen { version: 3, endpoints: position(3) };
     assert!(since.is_behind(&documents.seen()));
@@ -266,7 +274,11 @@
     let mut other = Documents::default();
     let (stands, deployment) = documents.deployment_after(0).expect("a configuration");
     other.merge(
-        vec![Revised { position: stands, made: 0, document: Document::Deployment(deployment) }],
+        vec![Revised {
+            position: stands,
+            created_revision: 0,
+            document: Document::Deployment(deployment),
+        }],
         ms(0),
     );
     other.merge(documents.endpoints_after(position(0)), ms(0));
--- a/tests/direct_pulls.rs
+++ b/tests/direct_pulls.rs
@@ -37,12 +37,12 @@
     let documents = vec![
         Revised {
             position: position(1),
-            made: 0,
+            created_revision: 0,
             document: Document::Deployment(deployment(1, Vec::new()).into()),
         },
         Revised {
             position: position(2),
-            made: 0,
+            created_revision: 0,
             document: Document::Endpoint(endpoint("engine", 1)),
         },
     ];
@@ -149,8 +149,11 @@
     for (step, at) in (2_000..6_200).step_by(200).enumerate() {
         if step % 7 == 6 {
             let document = Document::Deployment(deployment(step as u64, Vec::new()).into());
-            let documents =
-                vec![Revised { position: position(3 + step as u64), made: 0, document }];
+            let documents = vec![Revised {
+                position: position(3 + step as u64),
+                created_revision: 0,
+                document,
+            }];
             core.handle(Event::Published { documents, snapshot_at: None }, ms(at));
         }
         let actions = core.handle(Event::ConfigurationReadProgress, ms(at));
@@ -166,7 +169,7 @@
     for told in (0..700).step_by(50) {
         let mut core = gateway();
         let document = Document::Deployment(deployment(2, Vec::new()).into());
-        let documents = vec![Revised { position: position(3), made: 0, document }];
+        let documents = vec![Revised { position: position(3), created_revision: 0, document }];
         core.handle(Event::Published { documents, snapshot_at: None }, ms(2_000));
         let newer = Seen { version: 3, endpoints: position(2) };
         let asked = asked(&mut core, newer, 2_005 + told, 4_000);
@@ -216,17 +219,17 @@
     let read = StoreRead {
         subject: StoreRead::CONFIGURATION,
         watch: true,
-        outcome: StoreRead::WHOLE,
+        outcome: StoreRead::COMPLETE,
         bytes: 400_000,
         expected: Some(400_000),
-        again: false,
+        reconnected: false,
         waited: ms(5),
-        took: ms(300),
+        transfer_time: ms(300),
         decoding: ms(10),
     };
     assert!(pulls(&core.handle(Event::StoreRead(read), ms(2_300))).is_empty());
     let document = Document::Deployment(deployment(2, Vec::new()).into());
-    let documents = vec![Revised { position: position(3), made: 0, document }];
+    let documents = vec![Revised { position: position(3), created_revision: 0, document }];
     core.handle(Event::Published { documents, snapshot_at: None }, ms(2_301));
     assert!(asked(&mut core, NEWER, 2_305, 4_000).is_empty());
     let lost = StoreRead { outcome: "torn", ..read };
@@ -306,14 +309,14 @@
         let id = endpoint.id.clone();
         if step % 3 == 0 {
             listed.remove(&id);
-            table.replace(&id, None);
+            table.replace_endpoint(&id, None);
         } else {
-            table.replace(&id, Some(&Arc::new(endpoint.clone())));
+            table.replace_endpoint(&id, Some(&Arc::new(endpoint.clone())));
             listed.insert(id, Arc::new(endpoint));
         }
         let anew = Table::new(deployment.clone(), listed.values());
         for pool in ["first", "second", "engine"] {
-            assert_eq!(table.members(pool), anew.members(pool), "step {step}");
+            assert_eq!(table.pool_endpoints(pool), anew.pool_endpoints(pool), "step {step}");
         }
         for number in 0..13 {
             for pool in ["first", "engine"] {
--- a/tests/direct_requests.rs
+++ b/tests/direct_requests.rs
@@ -16,7 +16,7 @@
 use stackmast::direct::event::{Action, Event, Generation, IncomingRequest, Refused};
 use stackmast::direct::log_events::LogEvent;
 use stackmast::direct::peers::members::MemberState;
-use stackmast::direct::peers::message::{JobId, Made, PeerMessage};
+use stackmast::direct::peers::message::{JobId, PeerMessage, StoredResult};
 use stackmast::direct::published::documents::{Document, Revised};
 use stackmast::direct::published::model::{Repeat, Route};
 use test_case::test_case;
@@ -247,8 +247,8 @@
         let actions = submit(&mut core, caller, incoming("r", Vec::new()), ms(2));
         assert_eq!(&*calls(&actions)[0].1.endpoint.id, "engine-2");
     }
-    let document = Document::Gone("engine-2".into());
-    let documents = vec![Revised { position: position(4), made: 0, document }];
+    let document = Document::Removed("engine-2".into());
+    let documents = vec![Revised { position: position(4), created_revision: 0, document }];
     core.handle(Event::Published { documents, snapshot_at: None }, ms(3));
     let actions = submit(&mut core, 9, incoming("r", Vec::new()), ms(4));
     assert_eq!(refusal(&actions).expect("nowhere").reason, Refused::NoEndpoint);
@@ -346,7 +346,7 @@
     let (job, from) = (job_of_one(), address(port));
     let accepted = PeerMessage::Accepted(job);
     core.handle(Event::PeerMessage { from, message: accepted }, ms(3));
-    let made = Made { handle: "h".into(), endpoint: "first-1".into() };
+    let made = StoredResult { handle: "h".into(), endpoint: "first-1".into() };
     let done = PeerMessage::StageDone { job, stage: 0, results: vec![made] };
     core.handle(Event::PeerMessage { from, message: done }, ms(300));
     (core, from)
--- a/tests/direct_restarts.rs
+++ b/tests/direct_restarts.rs
@@ -29,7 +29,7 @@
 fn entry(incarnation: u64, revision: u64) -> Revised {
     Revised {
         position: position(revision),
-        made: 0,
+        created_revision: 0,
         document: Document::Endpoint(living("engine", 1, incarnation)),
     }
 }
@@ -40,13 +40,19 @@
     assert!(documents.merge(vec![entry(7, 1)], ms(0)).restarted.is_empty(), "it is new");
     let mut changed = (*living("engine", 1, 7)).clone();
     changed.slots += 1;
-    let changed =
-        Revised { position: position(2), made: 0, document: Document::Endpoint(Arc::new(changed)) };
+    let changed = Revised {
+        position: position(2),
+        created_revision: 0,
+        document: Document::Endpoint(Arc::new(changed)),
+    };
     assert!(documents.merge(vec![changed], ms(1)).restarted.is_empty());
     assert_eq!(documents.merge(vec![entry(9, 3)], ms(2)).restarted, ["engine-1".into()]);
     assert!(documents.merge(vec![entry(7, 2)], ms(3)).restarted.is_empty(), "older news");
-    let gone =
-        Revised { position: position(4), made: 0, document: Document::Gone("engine-1".into()) };
+    let gone = Revised {
+        position: position(4),
+        created_revision: 0,
+        document: Document::Removed("engine-1".into()),
+    };
     assert!(documents.merge(vec![gone], ms(4)).restarted.is_empty());
     let back = documents.merge(vec![entry(8, 5)], ms(5));
     assert_eq!(back.restarted, ["engine-1".into()], "a clock may have stepped back");
@@ -57,7 +63,11 @@
     let mut core = directenv::gateway::configured(vec![route("r", repeat, &[])]);
     let documents = vec![
         entry(7, 3),
-        Revised { position: position(4), made: 0, document: Document::Gone("engine-2".into()) },
+        Revised {
+            position: position(4),
+            created_revision: 0,
+            document: Document::Removed("engine-2".into()),
+        },
     ];
     core.handle(Event::Published { documents, snapshot_at: None }, ms(1));
     let actions = submit(&mut core, 1, incoming("r", Vec::new()), ms(2));
@@ -144,7 +154,7 @@
 fn restarted(table: &mut Table, id: &str) {
     let before = table.endpoint(id).expect("listed").clone();
     let endpoint = Arc::new(Endpoint { incarnation: 9, ..(*before).clone() });
-    table.replace(&endpoint.id, Some(&endpoint));
+    table.replace_endpoint(&endpoint.id, Some(&endpoint));
 }
 
 #[test]
--- a/tests/direct_scheduler.rs
+++ b/tests/direct_scheduler.rs
@@ -162,7 +162,7 @@
         scheduler.submit(job(number, &route, 2), &table, ms(0));
     }
     let refused = told(&scheduler.actions(&table, ms(0))).into_iter().find_map(|m| match m {
-        PeerMessage::GivenUp { job, reason, untouched, retry_after } => {
+        PeerMessage::Cancelled { job, reason, untouched, retry_after } => {
             Some((job, reason, untouched, retry_after))
         }
         _ => None,
@@ -297,7 +297,10 @@
     scheduler.batch_ended(first[0].0, broken, &table, ms(5));
     let actions = scheduler.actions(&table, ms(5));
     let given_up = told(&actions).iter().any(|m| {
-        matches!(m, PeerMessage::GivenUp { reason: JobReason::RepeatBudget, untouched: false, .. })
+        matches!(
+            m,
+            PeerMessage::Cancelled { reason: JobReason::RepeatBudget, untouched: false, .. }
+        )
     });
     assert!(given_up, "four repeats where the budget holds one");
 }
@@ -324,7 +327,7 @@
     let mut job = job(1, &route, 1);
     job.resubmitted = true;
     let handle = "old/0".into();
-    job.stages[0].done = vec![stackmast::direct::peers::message::Made {
+    job.stages[0].done = vec![stackmast::direct::peers::message::StoredResult {
         handle,
         endpoint: endpoint("first", 1).id.clone(),
     }];
@@ -361,7 +364,7 @@
     scheduler.submit(job(3, &route, 2), &table, ms(6));
     let refused = |actions: &[Action]| {
         told(actions).iter().any(|m| {
-            matches!(m, PeerMessage::GivenUp { reason: JobReason::NoRoom, untouched: true, .. })
+            matches!(m, PeerMessage::Cancelled { reason: JobReason::NoRoom, untouched: true, .. })
         })
     };
     assert!(refused(&scheduler.actions(&table, ms(6))), "what others hold is not there");
--- a/tests/direct_stops.rs
+++ b/tests/direct_stops.rs
@@ -11,7 +11,7 @@
 use stackmast::direct::core::GatewayCore;
 use stackmast::direct::event::{Action, Event, IncomingRequest, Refused};
 use stackmast::direct::peers::members::{Member, MemberState};
-use stackmast::direct::peers::message::{Job, JobId, JobReason, Made, PeerMessage};
+use stackmast::direct::peers::message::{Job, JobId, JobReason, PeerMessage, StoredResult};
 use stackmast::direct::published::model::{Repeat, Route};
 use test_case::test_case;
 
@@ -144,7 +144,7 @@
         let message = directenv::gateway::gossip(vec![owner]);
         actions.extend(core.handle(Event::PeerMessage { from, message }, now));
     }
-    let made = Made { handle: "h".into(), endpoint: "first-1".into() };
+    let made = StoredResult { handle: "h".into(), endpoint: "first-1".into() };
     let done = PeerMessage::StageDone { job, stage: 0, results: vec![made] };
     actions.extend(core.handle(Event::PeerMessage { from, message: done }, SIGNAL + ms(after)));
     let ready = Event::PeerMessage { from, message: PeerMessage::Ready(job) };
@@ -223,7 +223,7 @@
     hear_of(&mut core, vec![serving(30)], SIGNAL + ms(1_000));
     submit_job(&mut core, &job, SIGNAL + ms(1_100));
     let actions = core.handle(Event::Shutdown, SIGNAL + ms(7_700));
-    let is_handed_back = |a: &Action| matches!(a, Action::Send { to, message: PeerMessage::GivenUp { reason: JobReason::NotOwner, .. } } if *to == from);
+    let is_handed_back = |a: &Action| matches!(a, Action::Send { to, message: PeerMessage::Cancelled { reason: JobReason::NotOwner, .. } } if *to == from);
     assert!(actions.iter().any(is_handed_back));
 }
 
@@ -300,7 +300,7 @@
 }
 
 fn is_refused_as_not_owned(told: &[&PeerMessage], job: JobId) -> bool {
-    let is_refused = |m: &&PeerMessage| matches!(m, PeerMessage::GivenUp { job: j, reason: JobReason::NotOwner, untouched: true, .. } if *j == job);
+    let is_refused = |m: &&PeerMessage| matches!(m, PeerMessage::Cancelled { job: j, reason: JobReason::NotOwner, untouched: true, .. } if *j == job);
     told.len() == 1 && told.iter().all(is_refused)
 }
 
@@ -368,7 +368,7 @@
     let is_submitted = |m: &&PeerMessage| matches!(m, PeerMessage::Submit(_));
     assert!(told(&actions, 3).iter().any(is_submitted), "{actions:?}");
     let job = JobId { gateway: address(1), incarnation: 1, number: 3 };
-    let message = PeerMessage::GivenUp {
+    let message = PeerMessage::Cancelled {
         job,
         reason: JobReason::NotOwner,
         untouched: true,
--- a/tests/direct_upgrades.rs
+++ b/tests/direct_upgrades.rs
@@ -18,10 +18,10 @@
 use stackmast::direct::event::{Action, Event};
 use stackmast::direct::log_events::LogEvent;
 use stackmast::direct::peers::build::Build;
-use stackmast::direct::peers::codec::{FORM, Unread, read};
-use stackmast::direct::peers::links::{Peers, accept};
+use stackmast::direct::peers::codec::{FORM, Unreadable, read};
+use stackmast::direct::peers::links::{PeerLinks, accept};
 use stackmast::direct::peers::message::{JobReason, PeerMessage};
-use stackmast::direct::published::evacuations::Evacuation;
+use stackmast::direct::published::evacuations::EvacuationChange;
 use stackmast::direct::published::model::Repeat;
 use stackmast::direct::statement::{CallKind, Statement};
 use tokio::net::{TcpListener, TcpStream};
@@ -37,12 +37,12 @@
 }
 
 /// One gateway: where its peers connect, and what it tells with.
-async fn gateway() -> (SocketAddr, Peers, Handle<GatewayCore>) {
+async fn gateway() -> (SocketAddr, PeerLinks, Handle<GatewayCore>) {
     let listener = TcpListener::bind(address(0)).await.expect("a port");
     let at = listener.local_addr().expect("its address");
     let (core, waiting) = mailbox();
     tokio::spawn(run(new_core(), Idle, waiting));
-    let peers = Peers::new(at, 1, core.clone());
+    let peers = PeerLinks::new(at, 1, core.clone());
     tokio::spawn(accept(listener, core.clone(), peers.greeting()));
     (at, peers, core)
 }
@@ -76,7 +76,7 @@
     let owner = TcpListener::bind(address(0)).await.expect("a port");
     let owner_at = owner.local_addr().expect("its address");
     // The owner greets as this build does, so it reads what this build writes.
-    peers.tell(owner_at, PeerMessage::NoConfiguration);
+    peers.send(owner_at, PeerMessage::NoConfiguration);
     let (connection, hello) = taken(&owner).await;
     let mut greeting = hello;
     greeting["address"] = owner_at.to_string().into();
@@ -88,7 +88,7 @@
     drop(connection);
     drop(to_gateway);
     tokio::time::sleep(Duration::from_millis(50)).await;
-    peers.tell(owner_at, submission(1));
+    peers.send(owner_at, submission(1));
     let (mut connection, _) = taken(&owner).await;
     let frame = next(&mut connection).await;
     assert!(is_read_by_older(&frame), "an older build reads no {:?}", &frame[..frame.len().min(8)]);
@@ -107,13 +107,13 @@
     let other = TcpListener::bind(address(0)).await.expect("a port");
     let other_at = other.local_addr().expect("its address");
     for _ in 0..2 {
-        peers.tell(other_at, submission(1));
+        peers.send(other_at, submission(1));
         let (mut connection, hello) = taken(&other).await;
         assert_eq!(hello["answers"], true);
         assert!(is_read_by_older(&next(&mut connection).await), "nothing is known of it yet");
         connection.send(greeting(other_at, FORM)).await.expect("sent");
         tokio::time::sleep(Duration::from_millis(50)).await;
-        peers.tell(other_at, submission(2));
+        peers.send(other_at, submission(2));
         let frame = next(&mut connection).await;
         assert_eq!(read(&frame, FORM), Ok(submission(2)));
         assert!(!is_read_by_older(&frame), "it is compact");
@@ -128,11 +128,11 @@
     let (_at, peers, _core) = gateway().await;
     let other = TcpListener::bind(address(0)).await.expect("a port");
     let other_at = other.local_addr().expect("its address");
-    peers.tell(other_at, submission(1));
+    peers.send(other_at, submission(1));
     let (mut connection, _) = taken(&other).await;
     connection.send(greeting(other_at, FORM + 1)).await.expect("sent");
     tokio::time::sleep(Duration::from_millis(50)).await;
-    peers.tell(other_at, submission(2));
+    peers.send(other_at, submission(2));
     for _ in 0..2 {
         assert!(is_read_by_older(&next(&mut connection).await));
     }
@@ -144,7 +144,7 @@
     let (second, _, core) = gateway().await;
     assert_ne!(first, second);
     for _ in 0..3 {
-        peers.tell(second, PeerMessage::NoConfiguration);
+        peers.send(second, PeerMessage::NoConfiguration);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     let own = core.inspect(|core, _| core.peers_of_other_builds()).await.expect("a core");
@@ -189,12 +189,12 @@
 fn whoever_submits_a_job_that_is_not_read_hears_it_at_once() {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[("first", &[], 10)])]);
     let (from, job) = (address(5), job_id(3));
-    let unread = Unread::Message { job: Some(job) };
+    let unread = Unreadable::Message { job: Some(job) };
     let event = || Event::PeerMessageUnreadable { from, announced_form: 9, unread };
     let actions = core.handle(event(), ms(10));
     let refused = matches!(
         told(&actions).as_slice(),
-        [(to, PeerMessage::GivenUp { reason: JobReason::NotOwner, untouched: true, .. })]
+        [(to, PeerMessage::Cancelled { reason: JobReason::NotOwner, untouched: true, .. })]
             if *to == from
     );
     assert!(refused, "{actions:?}");
@@ -219,7 +219,7 @@
         });
         let Some((owner, job)) = submitted else { continue };
         let (reason, untouched, retry_after) = (JobReason::NotOwner, true, Duration::ZERO);
-        let message = PeerMessage::GivenUp { job, reason, untouched, retry_after };
+        let message = PeerMessage::Cancelled { job, reason, untouched, retry_after };
         let actions = core.handle(Event::PeerMessage { from: owner, message }, ms(22 + caller));
         let again = told(&actions).into_iter().find_map(|(to, message)| match message {
             PeerMessage::Submit(_) => Some(to),
@@ -270,7 +270,8 @@
         at: ms(1),
     };
     core.handle(stated, ms(1));
-    let order = Evacuation { data_centre: "hall-9".into(), position: position(9), stands: true };
+    let order =
+        EvacuationChange { data_centre: "hall-9".into(), position: position(9), in_force: true };
     core.handle(Event::Evacuations { changes: vec![order], snapshot_at: Some(position(9)) }, ms(2));
     // A heartbeat with nothing but what the first landing of all wrote.
     let member = serde_json::to_value(serving(5)).expect("JSON");
@@ -281,7 +282,7 @@
     let actions = core.handle(Event::PeerMessage { from: address(5), message }, ms(10));
     let told = actions.iter().find_map(|a| match a {
         Action::Send { message: PeerMessage::Gossip { evacuations, departures, .. }, .. } => {
-            Some((evacuations.standing(), departures.len()))
+            Some((evacuations.evacuated(), departures.len()))
         }
         _ => None,
     });
