--- a/tests/directenv/eras/mod.rs
+++ b/tests/directenv/eras/mod.rs
@@ -12,7 +12,7 @@
 use stackmast::direct::core::Setup;
 use stackmast::direct::event::{Action, Event};
 use stackmast::direct::published::documents::{Document, Revised};
-use stackmast::direct::published::evacuations::Evacuation;
+use stackmast::direct::published::evacuations::EvacuationChange;
 use stackmast::direct::published::model::{Endpoint, Name, Repeat};
 use stackmast::direct::published::position::Position;
 
@@ -252,20 +252,20 @@
         if self.is_away {
             return;
         }
-        for (number, (stands, _)) in self.orders.clone() {
+        for (number, (in_force, _)) in self.orders.clone() {
             let data_centre = data_centre(number);
-            if self.store.orders.contains_key(&data_centre) == stands {
+            if self.store.orders.contains_key(&data_centre) == in_force {
                 continue;
             }
             self.store.revision += 1;
             let revision = self.store.revision;
-            if stands {
+            if in_force {
                 self.store.orders.insert(data_centre.clone(), revision);
             } else {
                 self.store.orders.remove(&data_centre);
             }
             let position = Position::new(self.era, revision);
-            let changes = vec![Evacuation { data_centre, position, stands }];
+            let changes = vec![EvacuationChange { data_centre, position, in_force }];
             self.tell_all(&|| Event::Evacuations { changes: changes.clone(), snapshot_at: None });
         }
     }
@@ -290,13 +290,13 @@
         self.store.revision += 1;
         let revision = self.store.revision;
         let position = Position::new(self.era, revision);
-        let made = known.map_or(revision, |(_, made, _)| made);
+        let created_revision = known.map_or(revision, |(_, created_revision, _)| created_revision);
         let revised = if is_gone {
             self.store.entries.remove(&id);
-            Revised { position, made: 0, document: Document::Gone(id) }
+            Revised { position, created_revision: 0, document: Document::Removed(id) }
         } else {
-            self.store.entries.insert(id, (revision, made, entry.clone()));
-            Revised { position, made, document: Document::Endpoint(entry) }
+            self.store.entries.insert(id, (revision, created_revision, entry.clone()));
+            Revised { position, created_revision, document: Document::Endpoint(entry) }
         };
         let documents = vec![revised];
         self.tell_all(&|| Event::Published { documents: documents.clone(), snapshot_at: None });
@@ -306,7 +306,7 @@
         let (revision, version) = self.store.version;
         let deployment = deployment(version, vec![route("r", Repeat::Idempotent, &[])]);
         let document = Document::Deployment(Arc::new(deployment));
-        Revised { position: Position::new(self.era, revision), made: 1, document }
+        Revised { position: Position::new(self.era, revision), created_revision: 1, document }
     }
 
     fn come_back(&mut self, age: Duration) {
@@ -382,10 +382,10 @@
         let at = Position::new(self.era, self.store.revision);
         self.follows[gateway] = at;
         self.deliver(gateway, Event::StoreEra { era: self.era });
-        let change = |(name, revision): (&Name, &u64)| Evacuation {
+        let change = |(name, revision): (&Name, &u64)| EvacuationChange {
             data_centre: name.clone(),
             position: Position::new(at.era, *revision),
-            stands: true,
+            in_force: true,
         };
         let changes = self.store.orders.iter().map(change).collect();
         self.deliver(gateway, Event::Evacuations { changes, snapshot_at: Some(at) });
@@ -393,7 +393,7 @@
         self.deliver(gateway, Event::Published { documents, snapshot_at: None });
         let entry = |(revision, made, endpoint): &(u64, u64, Arc<Endpoint>)| Revised {
             position: Position::new(at.era, *revision),
-            made: *made,
+            created_revision: *made,
             document: Document::Endpoint(endpoint.clone()),
         };
         let documents = self.store.entries.values().map(entry).collect();
--- a/tests/directenv/gateway.rs
+++ b/tests/directenv/gateway.rs
@@ -48,13 +48,17 @@
     let document = |e: &Arc<Endpoint>| Document::Endpoint(e.clone());
     endpoints
         .iter()
-        .map(|e| Revised { position: position(revision), made: 0, document: document(e) })
+        .map(|e| Revised {
+            position: position(revision),
+            created_revision: 0,
+            document: document(e),
+        })
         .collect()
 }
 
 pub fn publish(core: &mut GatewayCore, deployment: Deployment, now: Duration) -> Vec<Action> {
     let document = Document::Deployment(Arc::new(deployment));
-    let documents = vec![Revised { position: position(1), made: 0, document }];
+    let documents = vec![Revised { position: position(1), created_revision: 0, document }];
     let mut actions = core.handle(Event::Published { documents, snapshot_at: None }, now);
     let documents = listed(&endpoints(), 2);
     actions
--- a/tests/directenv/limits.rs
+++ b/tests/directenv/limits.rs
@@ -312,7 +312,7 @@
         let entries = self.endpoints.iter().map(|e| Document::Endpoint(e.clone()));
         let documents = [configured].into_iter().chain(entries);
         let documents = documents
-            .map(|document| Revised { position: position(5), made: 0, document })
+            .map(|document| Revised { position: position(5), created_revision: 0, document })
             .collect();
         let event = Event::Published { documents, snapshot_at: Some(position(5)) };
         let at = self.time.now + self.time.time_in(4, 100);
--- a/tests/directenv/mod.rs
+++ b/tests/directenv/mod.rs
@@ -22,12 +22,12 @@
 use stackmast::config::Selector;
 use stackmast::direct::peers::message::{Job, JobId, JobStage};
 use stackmast::direct::poison::fingerprint::Fingerprint;
-use stackmast::direct::published::homes::Homes;
 use stackmast::direct::published::model::{
     BatchSpec, CallerLimits, Deployment, Endpoint, EngineSpec, Name, Organisation, Pool, Repeat,
     Route, StageSpec, Target, Work,
 };
 use stackmast::direct::published::position::Position;
+use stackmast::direct::published::regions::AllowedRegions;
 use stackmast::direct::published::table::Table;
 
 pub const CALL: Duration = Duration::from_millis(240);
@@ -157,7 +157,7 @@
         after: ms(100),
         priority: 0,
         data_centre: "hall-1".into(),
-        homes: Homes::default(),
+        homes: AllowedRegions::default(),
         resubmitted: false,
         fingerprint: Fingerprint::of_content("POST", &number.to_string(), b""),
     }
--- a/tests/directenv/orders.rs
+++ b/tests/directenv/orders.rs
@@ -10,7 +10,7 @@
 use stackmast::direct::core::Setup;
 use stackmast::direct::event::{Action, Event};
 use stackmast::direct::published::documents::{Document, Revised};
-use stackmast::direct::published::evacuations::Evacuation;
+use stackmast::direct::published::evacuations::EvacuationChange;
 use stackmast::direct::published::model::{ColdStart, Deployment, Endpoint, Name, Repeat};
 
 use super::gateway::{good, incoming, setup};
@@ -207,8 +207,8 @@
                     let revision = self.revision;
                     let gone = Revised {
                         position: position(revision),
-                        made: 0,
-                        document: Document::Gone(id.clone()),
+                        created_revision: 0,
+                        document: Document::Removed(id.clone()),
                     };
                     self.entered.insert(id, gone.clone());
                     self.spread(vec![gone]);
@@ -254,17 +254,17 @@
         let (revision, document) = (self.revision, Document::Endpoint(endpoint.clone()));
         self.entered.insert(
             endpoint.id.clone(),
-            Revised { position: position(revision), made: 0, document },
+            Revised { position: position(revision), created_revision: 0, document },
         );
         self.endpoints.insert(endpoint.id.clone(), endpoint);
     }
 
-    fn order(&mut self, data_centre: Name, stands: bool) {
+    fn order(&mut self, data_centre: Name, in_force: bool) {
         self.revision += 1;
         let revision = self.revision;
-        let since = stands.then_some(self.time.now);
+        let since = in_force.then_some(self.time.now);
         self.orders.insert(data_centre.clone(), (revision, since));
-        let change = Evacuation { data_centre, position: position(revision), stands };
+        let change = EvacuationChange { data_centre, position: position(revision), in_force };
         for gateway in 0..self.gateways.len() {
             let event = Event::Evacuations { changes: vec![change.clone()], snapshot_at: None };
             self.publish(gateway, event);
@@ -292,16 +292,17 @@
 
     fn publish_whole(&mut self, gateway: usize) {
         let stand = self.orders.iter().filter(|(_, order)| order.1.is_some());
-        let change = |(data_centre, order): (&Name, &Order)| Evacuation {
+        let change = |(data_centre, order): (&Name, &Order)| EvacuationChange {
             data_centre: data_centre.clone(),
             position: position(order.0),
-            stands: true,
+            in_force: true,
         };
         let changes = stand.map(change).collect();
         let snapshot_at = Some(position(self.revision));
         self.publish(gateway, Event::Evacuations { changes, snapshot_at });
         let configured = Document::Deployment(Arc::new(cold_deployment()));
-        let documents = vec![Revised { position: position(1), made: 0, document: configured }];
+        let documents =
+            vec![Revised { position: position(1), created_revision: 0, document: configured }];
         self.publish(gateway, Event::Published { documents, snapshot_at: None });
         let is_entry = |r: &&Revised| matches!(r.document, Document::Endpoint(_));
         let documents = self.entered.values().filter(is_entry).cloned().collect();
--- a/tests/directenv/poison/endpoints.rs
+++ b/tests/directenv/poison/endpoints.rs
@@ -140,8 +140,8 @@
             return;
         }
         self.revision += 1;
-        let (revision, document) = (self.revision, Document::Gone(id.clone()));
-        let gone = Revised { position: position(revision), made: 0, document };
+        let (revision, document) = (self.revision, Document::Removed(id.clone()));
+        let gone = Revised { position: position(revision), created_revision: 0, document };
         self.entered.insert(id.clone(), gone.clone());
         self.spread(&[gone]);
     }
--- a/tests/directenv/poison/mod.rs
+++ b/tests/directenv/poison/mod.rs
@@ -375,7 +375,7 @@
         let (revision, document) = (self.revision, Document::Endpoint(endpoint.clone()));
         self.entered.insert(
             endpoint.id.clone(),
-            Revised { position: position(revision), made: 0, document },
+            Revised { position: position(revision), created_revision: 0, document },
         );
         self.endpoints.insert(endpoint.id.clone(), endpoint);
     }
@@ -398,7 +398,8 @@
 
     fn publish_whole(&mut self, gateway: usize) {
         let configured = Document::Deployment(Arc::new(poison_deployment()));
-        let documents = vec![Revised { position: position(1), made: 0, document: configured }];
+        let documents =
+            vec![Revised { position: position(1), created_revision: 0, document: configured }];
         self.publish(gateway, Event::Published { documents, snapshot_at: None });
         let is_entry = |r: &&Revised| matches!(r.document, Document::Endpoint(_));
         let documents = self.entered.values().filter(is_entry).cloned().collect();
--- a/tests/directenv/publisher.rs
+++ b/tests/directenv/publisher.rs
@@ -18,7 +18,7 @@
             let revision = if endpoint.leaving { self.revision } else { self.listed_at };
             Revised {
                 position: position(revision),
-                made: 0,
+                created_revision: 0,
                 document: Document::Endpoint(Arc::new(endpoint)),
             }
         };
@@ -26,7 +26,7 @@
         let deployment = Arc::new(deployment(self.version, self.routes.clone()));
         documents.push(Revised {
             position: position(self.revision),
-            made: 0,
+            created_revision: 0,
             document: Document::Deployment(deployment),
         });
         documents
--- a/tests/directenv/recount.rs
+++ b/tests/directenv/recount.rs
@@ -77,7 +77,7 @@
             let Some(kept) = owner.pool_state(&pool.name, table, now) else {
                 continue;
             };
-            let Some(spec) = table.batch(&pool.name) else {
+            let Some(spec) = table.batch_spec(&pool.name) else {
                 continue;
             };
             let waiting = waiting(owner, &pool.name, now);
@@ -160,7 +160,7 @@
         queued
             .retain(|(job, stage)| is_prompt(job, *stage) || kept_queue.contains(&(*job, *stage)));
         let free: Vec<&Name> = kept.free.keys().collect();
-        let listed = free.iter().all(|id| table.members(pool).iter().any(|e| e.id == **id));
+        let listed = free.iter().all(|id| table.pool_endpoints(pool).iter().any(|e| e.id == **id));
         let same = (kept.waiting, kept.waiting + kept.running) == (waits, open)
             && kept.unfinished_in == open_at
             && kept_queue == queued
@@ -262,7 +262,7 @@
 
 fn load(owner: &mut Scheduler, job: &Job, index: usize, table: &Table, now: Duration) -> StageLoad {
     let stage = &job.stages[index];
-    let spec = table.batch(&stage.pool).expect("it works in batches");
+    let spec = table.batch_spec(&stage.pool).expect("it works in batches");
     let kept = owner.pool_state(&stage.pool, table, now).expect("endpoints are listed");
     let endpoints = kept.usable.values().sum::<usize>() as f64;
     let call = spec.call + spec.piece * stage.pieces.min(spec.pieces) as u32;
--- a/tests/kept_frames.rs
+++ b/tests/kept_frames.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 use serde_json::Value;
-use stackmast::direct::peers::codec::{FORM, Unread, read};
+use stackmast::direct::peers::codec::{FORM, Unreadable, read};
 use stackmast::direct::peers::message::PeerMessage;
 use stackmast_testbed::frames::{Frame, Frames, own};
 use test_case::test_case;
@@ -79,7 +79,7 @@
     for (kind, frame) in kept(form).frames {
         let compact = frame.compact_bytes().expect("hexadecimal");
         let unmarked = &compact[MARK_AND_FORM..];
-        assert_eq!(read(unmarked, form), Err(Unread::Message { job: None }), "{kind}");
+        assert_eq!(read(unmarked, form), Err(Unreadable::Message { job: None }), "{kind}");
     }
 }
 
@@ -87,7 +87,7 @@
 fn what_earlier_landings_write_compactly_is_not_guessed_at() {
     for (kind, frame) in kept(2).frames {
         let compact = frame.compact_bytes().expect("hexadecimal");
-        assert_eq!(read(&compact, 2), Err(Unread::Form(2)), "{kind}");
+        assert_eq!(read(&compact, 2), Err(Unreadable::Form(2)), "{kind}");
     }
 }
 
