--- a/src/direct/core.rs
+++ b/src/direct/core.rs
@@ -35,7 +35,7 @@
 use crate::direct::published::table::Table;
 use crate::direct::repeats::RepeatBudget;
 use crate::direct::requests::Requests;
-use crate::direct::requests::early::Waiting;
+use crate::direct::requests::deferred::DeferredRequests;
 use crate::direct::requests::stopping::Stopping;
 use crate::direct::stop::{self, Stop};
 use crate::message::Timestamp;
@@ -64,7 +64,7 @@
     /// Time from the signal to stop until the process is killed.
     pub grace: Duration,
     /// Time from the first configuration until stages are started; see
-    /// [`crate::direct::requests::early::SETTLING`].
+    /// [`crate::direct::requests::deferred::SETTLING`].
     pub settling: Duration,
     /// Seed of the random choices.
     pub seed: u64,
@@ -90,7 +90,7 @@
     pub(super) requests: Requests,
     pub(super) owners: Owners,
     pub(super) pulls: Pulls,
-    pub(super) deferred_requests: Waiting,
+    pub(super) deferred_requests: DeferredRequests,
     pub(super) event_lag: EventLag,
     /// Fingerprints of content under which endpoints crashed; shared with requests and owners.
     pub(super) suspects: Arc<Suspects>,
@@ -156,7 +156,7 @@
             ),
             owners: Owners::new(setup.address, setup.repeats),
             pulls: Pulls::default(),
-            deferred_requests: Waiting::default(),
+            deferred_requests: DeferredRequests::default(),
             event_lag: EventLag::default(),
             suspects: Arc::default(),
             broken: UnansweredCalls::default(),
@@ -203,8 +203,8 @@
         match event {
             Event::Submit { caller, incoming } => self.submit(caller, incoming, now),
             Event::CallerDisconnected { caller } => {
-                self.deferred_requests.caller_gone(caller);
-                self.requests.caller_gone(caller, now);
+                self.deferred_requests.caller_disconnected(caller);
+                self.requests.caller_disconnected(caller, now);
             }
             Event::Answered { caller, attempt, proof, is_open } => {
                 self.requests.answered(caller, attempt, proof, is_open, &self.table, now);
@@ -324,9 +324,9 @@
             let stopping = Stopping {
                 stop,
                 others_serve: stop::others_serve(&self.members, now),
-                come_back_after: stop::retry_after(&stop, &self.members, now),
+                retry_after: stop::retry_after(&stop, &self.members, now),
             };
-            self.requests.stopping(stopping, now);
+            self.requests.set_stopping(stopping, now);
         }
     }
 
@@ -374,7 +374,7 @@
         }
         self.pull_missing_documents(now);
         self.owners.run_timers(&self.table, now);
-        self.requests.look(&self.table, now);
+        self.requests.run_timers(&self.table, now);
     }
 
     /// Collects the actions to carry out; delivers messages to this gateway itself without the
@@ -443,7 +443,7 @@
         // The time of a suspension does not count as event lag.
         self.event_lag.record(queue_delay.min(now.saturating_sub(self.resumed_at)), now);
         let event_lag = self.event_lag.estimate(now);
-        self.requests.set_lateness(event_lag);
+        self.requests.set_event_lag(event_lag);
         self.owners.set_event_lag(event_lag);
         if let Some(is_overloaded) = self.event_lag.overload_change(now) {
             self.log(LogEvent::Overloaded { is_overloaded, late_ms: ms(event_lag) });
--- a/src/direct/endpoint_status.rs
+++ b/src/direct/endpoint_status.rs
@@ -72,7 +72,7 @@
         at: Timestamp,
         now: Timestamp,
     ) -> bool {
-        let was_cold = self.requests.told_cold(endpoint, left, at, now);
+        let was_cold = self.requests.cold_announced(endpoint, left, at, now);
         self.owners.cold_announced(endpoint, left, at);
         !left.is_zero() && !was_cold
     }
@@ -114,7 +114,7 @@
         }
         let state = EntryState::Leaving.as_str();
         self.log(LogEvent::Endpoint { endpoint: id.clone(), state, source: source.to_owned() });
-        self.requests.changed(&self.table, &Merged::default(), &[], now);
+        self.requests.table_changed(&self.table, &Merged::default(), &[], now);
         self.owners.table_changed(&self.table, &Merged::default(), &[], now);
         self.check_entries_for_crashes(&[id], now);
     }
--- a/src/direct/owner/scheduler.rs
+++ b/src/direct/owner/scheduler.rs
@@ -32,7 +32,7 @@
 use crate::direct::published::model::{BatchSpec, Endpoint, Name};
 use crate::direct::published::table::Table;
 use crate::direct::repeats::{RepeatBudget, RepeatLimiter};
-use crate::direct::requests::READ_FIRST;
+use crate::direct::requests::RESUME_GRACE;
 use crate::message::Timestamp;
 use crate::policy::path::FETCHING;
 
@@ -148,7 +148,7 @@
     /// arrived meanwhile are read, and calls that were running are no measurements of speed.
     pub fn on_suspension(&mut self, now: Timestamp) {
         self.resumed_at = now;
-        self.timers.postpone(now, now + READ_FIRST);
+        self.timers.postpone(now, now + RESUME_GRACE);
     }
 
     /// Number of active jobs.
--- a/src/direct/peer_messages.rs
+++ b/src/direct/peer_messages.rs
@@ -14,7 +14,7 @@
 use crate::direct::peers::message::{Job, JobId, JobReason, PeerMessage};
 use crate::direct::published::documents::Seen;
 use crate::direct::published::position::Position;
-use crate::direct::requests::stages::GivenUp;
+use crate::direct::requests::stages::CancelledJob;
 use crate::message::Timestamp;
 
 impl GatewayCore {
@@ -26,7 +26,7 @@
             return true;
         }
         let is_own = from == self.members.own().address;
-        let can_end = || self.requests.stages_can_end(&job.route, job.to_deadline, now);
+        let can_end = || self.requests.stages_can_finish(&job.route, job.to_deadline, now);
         self.documents.is_complete() && (is_own || self.requests.is_open(now) && can_end())
     }
 
@@ -55,7 +55,7 @@
                 self.departures_received(from, departures, now);
                 self.limits_received(from, &limits, now);
                 self.owners.usage_announced(from, usage, &self.table);
-                self.requests.told_lateness(from, late, now);
+                self.requests.event_lag_announced(from, late, now);
                 let changes = self.members.merge(&members, now);
                 for member in changes.replaced {
                     self.peer_down(member.address, member.incarnation, "restarted", now);
@@ -94,11 +94,11 @@
             }
             PeerMessage::Submit(job) => self.refuse_job(job.id, from),
             PeerMessage::Release(job) => self.owners.release(job, &self.table),
-            PeerMessage::Accepted(job) => self.requests.accepted(job, from),
+            PeerMessage::Accepted(job) => self.requests.job_accepted(job, from),
             PeerMessage::StageDone { job, stage, results } => {
                 self.requests.stage_done(job, from, stage, results);
             }
-            PeerMessage::Ready(job) => self.requests.ready(job, from, &self.table, now),
+            PeerMessage::Ready(job) => self.requests.stages_ready(job, from, &self.table, now),
             PeerMessage::Suspects(accounts) => self.suspects_received(from, &accounts, now),
             PeerMessage::AskSuspects(digest) => self.suspects_requested(from, digest, now),
             PeerMessage::AskPermit { number, limit, priority, wait } => {
@@ -109,8 +109,8 @@
                 self.permit_decided(from, number, granted, retry_after, now);
             }
             PeerMessage::Cancelled { job, reason, untouched, retry_after } => {
-                let given_up = GivenUp { reason, untouched, retry_after };
-                self.requests.given_up(job, from, given_up, &self.table, now);
+                let cancelled = CancelledJob { reason, untouched, retry_after };
+                self.requests.job_cancelled(job, from, cancelled, &self.table, now);
             }
         }
     }
@@ -147,7 +147,7 @@
         self.pulls.remove_peer(address);
         self.owners.release_jobs_of(address, incarnation, &self.table);
         self.owners.owner_removed(address, now);
-        self.requests.owner_lost(address, incarnation);
+        self.requests.owner_removed(address, incarnation);
         self.limiter_down(address, now);
     }
 
@@ -235,6 +235,6 @@
     pub(super) fn probe_peer(&mut self, address: SocketAddr, now: Timestamp) {
         let message = self.gossip(Vec::new(), Vec::new(), now);
         self.send(address, message);
-        self.requests.submit_again(address);
+        self.requests.resubmit_jobs(address);
     }
 }
--- a/src/direct/publication.rs
+++ b/src/direct/publication.rs
@@ -250,7 +250,7 @@
             let cold_ms = ms(endpoint.cold);
             self.log(LogEvent::Cold { endpoint: endpoint.id.clone(), cold_ms });
         }
-        self.requests.changed(&self.table, merged, &entered, now);
+        self.requests.table_changed(&self.table, merged, &entered, now);
         self.owners.table_changed(&self.table, merged, &entered, now);
         self.check_entries_for_crashes(&merged.endpoints, now);
         if spread {
@@ -328,9 +328,9 @@
         }
         let returned: BTreeSet<Name> = &before - &standing;
         self.table.set_evacuated(standing, self.documents.endpoints());
-        self.requests.changed(&self.table, &Merged::default(), &[], now);
+        self.requests.table_changed(&self.table, &Merged::default(), &[], now);
         self.owners.table_changed(&self.table, &Merged::default(), &[], now);
-        self.requests.return_of(&returned, &self.table, now);
+        self.requests.data_centres_returned(&returned, &self.table, now);
         self.owners.data_centres_returned(&returned, &self.table, now);
         true
     }
--- a/src/direct/rate_limits.rs
+++ b/src/direct/rate_limits.rs
@@ -233,7 +233,7 @@
         let NeededPermit { endpoint, purpose, .. } = asked.wanted;
         match purpose {
             Purpose::Request { caller, number } => {
-                self.requests.permit_given(caller, number, until, &self.table, now);
+                self.requests.permit_granted(caller, number, until, &self.table, now);
             }
             Purpose::Pieces | Purpose::Free => {
                 self.owners.permit_granted(&endpoint, purpose, until, &self.table);
@@ -278,7 +278,7 @@
     ) {
         let NeededPermit { endpoint, purpose, .. } = &asked.wanted;
         let request = match purpose {
-            Purpose::Request { caller, .. } => self.requests.id_of(*caller),
+            Purpose::Request { caller, .. } => self.requests.request_id(*caller),
             Purpose::Pieces | Purpose::Free => None,
         };
         self.log(LogEvent::Permit {
--- a/src/direct/requests/changes.rs
+++ b/src/direct/requests/changes.rs
@@ -16,7 +16,7 @@
 
 impl Requests {
     /// The configuration or entries of endpoints changed; `entered` holds the new entries.
-    pub fn changed(
+    pub fn table_changed(
         &mut self,
         table: &Table,
         merged: &Merged,
@@ -36,13 +36,18 @@
 
     /// An evacuation order for these data centres was withdrawn, so their endpoints get requests
     /// again.
-    pub fn return_of(&mut self, data_centres: &BTreeSet<Name>, table: &Table, now: Timestamp) {
+    pub fn data_centres_returned(
+        &mut self,
+        data_centres: &BTreeSet<Name>,
+        table: &Table,
+        now: Timestamp,
+    ) {
         self.cold.evacuation_ended(data_centres, table, now);
     }
 
     /// An endpoint reported at `at` for how long it stays cold. Returns whether it counted as cold
     /// before.
-    pub fn told_cold(
+    pub fn cold_announced(
         &mut self,
         endpoint: &Endpoint,
         left: Duration,
--- a/src/direct/requests/early.rs
+++ b/src/direct/requests/deferred.rs
@@ -25,7 +25,7 @@
 
 /// A request that waits for the first configuration.
 #[derive(Debug)]
-pub struct Early {
+pub struct DeferredRequest {
     /// Caller of the request.
     pub caller: u64,
     /// The request as received.
@@ -37,11 +37,11 @@
 
 /// Requests that wait for the first configuration, in order of arrival.
 #[derive(Debug, Default)]
-pub struct Waiting {
-    requests: Vec<Early>,
+pub struct DeferredRequests {
+    requests: Vec<DeferredRequest>,
 }
 
-impl Waiting {
+impl DeferredRequests {
     /// Whether another request may be added.
     pub fn is_open(&self) -> bool {
         self.requests.len() < MAX_WAITING
@@ -51,12 +51,12 @@
     pub fn add(&mut self, caller: u64, incoming: IncomingRequest, now: Timestamp) {
         let share = incoming.timeout.map_or(MAX_WAIT, |allowed| allowed / TIMEOUT_DIVISOR);
         let until = now + share.min(MAX_WAIT);
-        self.requests.push(Early { caller, incoming, arrived: now, until });
+        self.requests.push(DeferredRequest { caller, incoming, arrived: now, until });
     }
 
     /// Removes the request of a caller that disconnected.
-    pub fn caller_gone(&mut self, caller: u64) {
-        self.requests.retain(|early| early.caller != caller);
+    pub fn caller_disconnected(&mut self, caller: u64) {
+        self.requests.retain(|request| request.caller != caller);
     }
 
     /// Removes and returns the requests that can be decided now, and those whose wait is over.
@@ -64,8 +64,9 @@
         &mut self,
         can_decide: impl Fn(&IncomingRequest) -> bool,
         now: Timestamp,
-    ) -> Vec<Early> {
-        let is_due = |early: &Early| early.until <= now || can_decide(&early.incoming);
+    ) -> Vec<DeferredRequest> {
+        let is_due =
+            |request: &DeferredRequest| request.until <= now || can_decide(&request.incoming);
         let (due, waiting) = std::mem::take(&mut self.requests).into_iter().partition(is_due);
         self.requests = waiting;
         due
@@ -78,6 +79,6 @@
 
     /// When the first wait ends.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
-        self.requests.iter().map(|early| early.until).min()
+        self.requests.iter().map(|request| request.until).min()
     }
 }
--- a/src/direct/requests/experience.rs
+++ b/src/direct/requests/durations.rs
@@ -18,13 +18,13 @@
 const SAFETY_FACTOR: f64 = 1.2;
 
 /// Time after which a balancer that probes every second has seen two failed probes.
-pub const NOTICED: Duration = Duration::from_millis(2_600);
+pub const BALANCER_NOTICE_TIME: Duration = Duration::from_millis(2_600);
 
 /// A span of a request's duration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Part {
+pub enum Span {
     /// From the arrival to the complete answer.
-    Whole,
+    Total,
     /// From the arrival to the last result of the stages.
     Stages,
     /// From the call of the endpoint to the complete answer.
@@ -33,13 +33,13 @@
 
 /// Required confidence of an estimate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sure {
+pub enum Confidence {
     /// Nearly all requests of this size took no longer.
-    Usually,
+    Typical,
     /// No similar request took longer, and there are enough of them.
-    Surely,
+    UpperBound,
     /// No estimate from past requests: only the request's own deadline bounds its duration.
-    ByDeadline,
+    Deadline,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -61,8 +61,8 @@
 
 /// Recent durations of requests.
 #[derive(Debug, Default)]
-pub struct Experience {
-    samples: HashMap<Name, HashMap<Part, Classes>>,
+pub struct DurationHistory {
+    samples: HashMap<Name, HashMap<Span, Classes>>,
 }
 
 /// Size class: sizes within a factor of two share one.
@@ -70,11 +70,11 @@
     u64::BITS - size.leading_zeros()
 }
 
-impl Experience {
+impl DurationHistory {
     /// Records the duration of a span of a request.
-    pub fn took(&mut self, route: &Name, part: Part, size: u64, time: Duration) {
-        let parts = self.samples.entry(route.clone()).or_default();
-        let samples = parts.entry(part).or_default().entry(size_class(size)).or_default();
+    pub fn record(&mut self, route: &Name, span: Span, size: u64, time: Duration) {
+        let spans = self.samples.entry(route.clone()).or_default();
+        let samples = spans.entry(span).or_default().entry(size_class(size)).or_default();
         if samples.len() == MAX_SAMPLES {
             samples.pop_front();
         }
@@ -83,11 +83,11 @@
 
     /// Records that a request has not finished within this time. This adds information only if the
     /// time exceeds the longest sample of its class.
-    pub fn took_more(&mut self, route: &Name, part: Part, size: u64, than: Duration) {
-        let of_class = self.classes(route, part).and_then(|c| c.get(&size_class(size)));
-        let longest = of_class.and_then(|samples| samples.iter().map(|t| t.time).max());
-        if longest.is_some_and(|longest| than > longest) {
-            self.took(route, part, size, than);
+    pub fn record_lower_bound(&mut self, route: &Name, span: Span, size: u64, time: Duration) {
+        let samples = self.classes(route, span).and_then(|c| c.get(&size_class(size)));
+        let longest = samples.and_then(|samples| samples.iter().map(|s| s.time).max());
+        if longest.is_some_and(|longest| time > longest) {
+            self.record(route, span, size, time);
         }
     }
 
@@ -98,17 +98,23 @@
     }
 
     /// Expected duration of a request; `None` without enough samples.
-    pub fn expected(&self, route: &Name, part: Part, size: u64, sure: Sure) -> Option<Duration> {
-        let classes = self.classes(route, part)?;
-        match sure {
-            Sure::Usually => typical(classes, size_class(size)),
-            Sure::Surely => longest(classes, size).map(|time| time.mul_f64(SAFETY_FACTOR)),
-            Sure::ByDeadline => None,
+    pub fn expected(
+        &self,
+        route: &Name,
+        span: Span,
+        size: u64,
+        confidence: Confidence,
+    ) -> Option<Duration> {
+        let classes = self.classes(route, span)?;
+        match confidence {
+            Confidence::Typical => typical(classes, size_class(size)),
+            Confidence::UpperBound => longest(classes, size).map(|d| d.mul_f64(SAFETY_FACTOR)),
+            Confidence::Deadline => None,
         }
     }
 
-    fn classes(&self, route: &Name, part: Part) -> Option<&Classes> {
-        self.samples.get(route)?.get(&part)
+    fn classes(&self, route: &Name, span: Span) -> Option<&Classes> {
+        self.samples.get(route)?.get(&span)
     }
 }
 
@@ -116,8 +122,8 @@
 fn typical(classes: &Classes, class: u32) -> Option<Duration> {
     let own = classes.get(&class).filter(|samples| samples.len() >= MIN_SAMPLES);
     let mut times: Vec<Duration> = match own {
-        Some(samples) => samples.iter().map(|t| t.time).collect(),
-        None => classes.values().flatten().map(|t| t.time).collect(),
+        Some(samples) => samples.iter().map(|s| s.time).collect(),
+        None => classes.values().flatten().map(|s| s.time).collect(),
     };
     times.sort_unstable();
     times.get((times.len() as f64 * TYPICAL_QUANTILE) as usize).copied()
@@ -127,8 +133,8 @@
 /// smaller requests, or a single one, give no bound.
 fn longest(classes: &Classes, size: u64) -> Option<Duration> {
     let own = size_class(size);
-    let alike = classes.range(own.saturating_sub(SMALLER_CLASSES)..=own + 1);
-    let times: Vec<Duration> = alike.flat_map(|(_, t)| t).map(|t| t.scaled_to(size)).collect();
+    let similar = classes.range(own.saturating_sub(SMALLER_CLASSES)..=own + 1);
+    let times: Vec<Duration> = similar.flat_map(|(_, t)| t).map(|s| s.scaled_to(size)).collect();
     if times.len() < MIN_SAMPLES {
         return None;
     }
@@ -143,10 +149,15 @@
 /// is required. A new stream must then end by its own deadline: durations of streams vary widely
 /// within a route, the long ones end last, and a refusal costs the caller no more than the restart
 /// of the process.
-pub fn must_be(stop_age: Duration, is_new: bool, is_stream: bool, others_serve: bool) -> Sure {
-    let is_noticed = stop_age >= NOTICED;
+pub fn required_confidence(
+    stop_age: Duration,
+    is_new: bool,
+    is_stream: bool,
+    others_serve: bool,
+) -> Confidence {
+    let is_noticed = stop_age >= BALANCER_NOTICE_TIME;
     if is_noticed && is_new && is_stream {
-        return Sure::ByDeadline;
+        return Confidence::Deadline;
     }
-    if is_noticed || is_new && others_serve { Sure::Surely } else { Sure::Usually }
+    if is_noticed || is_new && others_serve { Confidence::UpperBound } else { Confidence::Typical }
 }
--- a/src/direct/requests/fetches.rs
+++ b/src/direct/requests/fetch_times.rs
@@ -28,11 +28,11 @@
 
 /// First events of all pools.
 #[derive(Debug, Default)]
-pub struct Fetches {
+pub struct FetchTimes {
     pools: HashMap<Name, FirstEvents>,
 }
 
-impl Fetches {
+impl FetchTimes {
     /// The first event arrived this long after its call was sent.
     pub fn first_event(&mut self, pool: &Name, after: Duration) {
         let first = FirstEvents { count: 0, quickest: after };
--- a/src/direct/requests/mod.rs
+++ b/src/direct/requests/mod.rs
@@ -6,17 +6,17 @@
 //! `core` passes in events of callers, endpoints and owners. `stages` and `owners` have the stages
 //! run; `dispatch` and `choice` send requests to endpoints, selected by `policy::place`; `attempts`
 //! tracks the calls; `permits` and `ramp` limit the load after endpoints asked for it; `changes`
-//! applies changed endpoints; `early`, `stopping`, `overload` and `poison` handle startup,
+//! applies changed endpoints; `deferred`, `stopping`, `overload` and `poison` handle startup,
 //! shutdown, overload and requests that crash endpoints.
 
 mod attempts;
 mod changes;
 mod choice;
+pub mod deferred;
 mod dispatch;
-pub mod early;
+pub mod durations;
 pub mod endpoints;
-pub mod experience;
-pub mod fetches;
+pub mod fetch_times;
 mod overload;
 mod owners;
 mod permits;
@@ -47,9 +47,9 @@
 use crate::direct::published::regions::AllowedRegions;
 use crate::direct::published::table::Table;
 use crate::direct::repeats::{RepeatBudget, RepeatLimiter};
+use crate::direct::requests::durations::DurationHistory;
 use crate::direct::requests::endpoints::Observations;
-use crate::direct::requests::experience::Experience;
-use crate::direct::requests::fetches::Fetches;
+use crate::direct::requests::fetch_times::FetchTimes;
 use crate::direct::requests::owners::OwnerRanking;
 use crate::direct::requests::ramp::Ramps;
 use crate::direct::requests::request::{Phase, Request};
@@ -68,7 +68,7 @@
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 /// After the process was suspended, timers are deferred by this time so that responses which
 /// arrived during the suspension are read, and late ones delivered, before calls count as silent.
-pub const READ_FIRST: Duration = Duration::from_millis(100);
+pub const RESUME_GRACE: Duration = Duration::from_millis(100);
 
 /// Kind of a timer of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -99,8 +99,8 @@
     /// Number of the last permit that was asked for.
     last_permit: u64,
     ramps: Ramps,
-    pub(super) durations: Experience,
-    pub(super) fetch_times: Fetches,
+    pub(super) durations: DurationHistory,
+    pub(super) fetch_times: FetchTimes,
     pub(super) stopping: Option<Stopping>,
     /// When a stopping process last checked the requests that wait for their stages.
     pub(super) stages_checked_at: Timestamp,
@@ -115,8 +115,8 @@
     pub(super) event_lag: Duration,
     /// When this process last resumed after a suspension; earlier starting times give no durations.
     pub(super) resumed_at: Timestamp,
-    /// Event lag that other gateways reported.
-    pub(super) peer_lags: HashMap<SocketAddr, overload::ReportedLag>,
+    /// Event lag that other gateways announced.
+    pub(super) peer_lags: HashMap<SocketAddr, overload::AnnouncedLag>,
     /// Fingerprints of requests under which endpoints crashed.
     pub(super) suspects: Arc<Suspects>,
     pub(super) last_attempt: u64,
@@ -144,8 +144,8 @@
             turns: RetryTimes::default(),
             last_permit: 0,
             ramps: Ramps::default(),
-            durations: Experience::default(),
-            fetch_times: Fetches::default(),
+            durations: DurationHistory::default(),
+            fetch_times: FetchTimes::default(),
             stopping: None,
             stages_checked_at: Timestamp::ZERO,
             running_sampled_at: Timestamp::ZERO,
@@ -187,7 +187,7 @@
         self.requests.is_empty()
     }
 
-    /// When [`Self::look`] is due next.
+    /// When [`Self::run_timers`] is due next.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         self.timers.first().map(|(at, _, _)| *at)
     }
@@ -326,7 +326,7 @@
     }
 
     /// The caller disconnected: cancels its request.
-    pub fn caller_gone(&mut self, caller: u64, now: Timestamp) {
+    pub fn caller_disconnected(&mut self, caller: u64, now: Timestamp) {
         self.record_durations(caller, false, now);
         self.cancel_attempt(caller);
         self.out.push(Action::AbortStream { caller });
@@ -334,7 +334,7 @@
     }
 
     /// Runs all timers that are due.
-    pub fn look(&mut self, table: &Table, now: Timestamp) {
+    pub fn run_timers(&mut self, table: &Table, now: Timestamp) {
         self.refuse_unfinishable_stages(now);
         while let Some((at, caller, timer)) = self.timers.first().copied() {
             if at > now {
@@ -350,12 +350,12 @@
         }
     }
 
-    /// The process was suspended until now: defers the timers that are due by [`READ_FIRST`].
+    /// The process was suspended until now: defers the timers that are due by [`RESUME_GRACE`].
     pub fn on_suspension(&mut self, now: Timestamp) {
         self.resumed_at = now;
         let later = self.timers.split_off(&(now, 0, Timer::Deadline));
         let due = std::mem::replace(&mut self.timers, later).into_iter();
-        self.timers.extend(due.map(|(_, caller, timer)| (now + READ_FIRST, caller, timer)));
+        self.timers.extend(due.map(|(_, caller, timer)| (now + RESUME_GRACE, caller, timer)));
     }
 
     /// Time since `since`, or `None` if the process was suspended within that time.
--- a/src/direct/requests/overload.rs
+++ b/src/direct/requests/overload.rs
@@ -11,7 +11,7 @@
 use crate::direct::event::Refused;
 use crate::direct::event_lag::OVERLOAD_LAG;
 use crate::direct::requests::Requests;
-use crate::direct::requests::experience::{Part, Sure};
+use crate::direct::requests::durations::{Confidence, Span};
 use crate::direct::requests::request::Request;
 use crate::message::Timestamp;
 
@@ -23,7 +23,7 @@
 /// Multiple of the event lag that an owner's decision may take: it involves two events, and
 /// messages wait to be read.
 const EVENTS_PER_DECISION: u32 = 3;
-/// How long a reported event lag is used; gateways report it five times a second.
+/// How long an announced event lag is used; gateways send it five times a second.
 const LAG_REPORT_TTL: Duration = Duration::from_secs(1);
 /// Maximum timeout extension for an owner: within that time failed owners are detected by other
 /// means.
@@ -31,17 +31,22 @@
 /// Minimum delay after which callers should retry at an overloaded process.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// Event lag that a gateway reported, and when.
-pub(super) type ReportedLag = (Duration, Timestamp);
+/// Event lag that a gateway announced, and when.
+pub(super) type AnnouncedLag = (Duration, Timestamp);
 
 impl Requests {
     /// Sets the event lag of this process.
-    pub fn set_lateness(&mut self, event_lag: Duration) {
+    pub fn set_event_lag(&mut self, event_lag: Duration) {
         self.event_lag = event_lag;
     }
 
-    /// Another gateway reported its event lag.
-    pub fn told_lateness(&mut self, gateway: SocketAddr, event_lag: Duration, now: Timestamp) {
+    /// Another gateway announced its event lag.
+    pub fn event_lag_announced(
+        &mut self,
+        gateway: SocketAddr,
+        event_lag: Duration,
+        now: Timestamp,
+    ) {
         if event_lag < OVERLOAD_LAG {
             self.peer_lags.remove(&gateway);
         } else {
@@ -70,7 +75,7 @@
         let stages = if request.has_stages() { EVENTS_FOR_STAGES } else { 0 };
         let route = &request.route;
         let typical =
-            self.durations.expected(&route.name, Part::Whole, request.size(), Sure::Usually);
+            self.durations.expected(&route.name, Span::Total, request.size(), Confidence::Typical);
         let typical = typical.filter(|_| !route.streams).unwrap_or_default();
         let answered = now + self.event_lag * (EVENTS_PER_REQUEST + stages) + typical;
         (answered > request.deadline)
--- a/src/direct/requests/permits.rs
+++ b/src/direct/requests/permits.rs
@@ -45,7 +45,7 @@
     }
 
     /// The caller's id of a request.
-    pub fn id_of(&self, caller: u64) -> Option<Name> {
+    pub fn request_id(&self, caller: u64) -> Option<Name> {
         self.requests.get(&caller).map(|request| request.incoming.id.clone())
     }
 
@@ -74,7 +74,7 @@
 
     /// A permit was granted that is valid until `until`. Checks again whether the request and the
     /// endpoint are still suitable.
-    pub fn permit_given(
+    pub fn permit_granted(
         &mut self,
         caller: u64,
         number: u64,
--- a/src/direct/requests/stages.rs
+++ b/src/direct/requests/stages.rs
@@ -10,7 +10,7 @@
 use crate::direct::published::model::Name;
 use crate::direct::published::table::Table;
 use crate::direct::requests::choice::Unplaced;
-use crate::direct::requests::experience::Part;
+use crate::direct::requests::durations::Span;
 use crate::direct::requests::request::{Phase, Request};
 use crate::direct::requests::{RETRY_SOON, Requests, Timer};
 use crate::message::Timestamp;
@@ -23,10 +23,10 @@
 /// Maximum number of owners that are asked.
 pub(super) const MAX_OWNERS: usize = 3;
 
-/// Why an owner abandoned a job.
+/// Why an owner refused or cancelled a job.
 #[derive(Debug, Clone, Copy)]
-pub struct GivenUp {
-    /// Reason for abandoning the job.
+pub struct CancelledJob {
+    /// Reason for the refusal or cancellation.
     pub reason: JobReason,
     /// Whether no part of the job was started.
     pub untouched: bool,
@@ -96,7 +96,7 @@
 
     /// Messages to or from this owner may be lost: submits the jobs that it has again, and it
     /// answers with their state.
-    pub fn submit_again(&mut self, owner: SocketAddr) {
+    pub fn resubmit_jobs(&mut self, owner: SocketAddr) {
         self.pending_resubmissions.extend(self.callers_where(|r| r.is_with_owner(owner)));
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// An owner has started a job.
-    pub fn accepted(&mut self, job: JobId, from: SocketAddr) {
+    pub fn job_accepted(&mut self, job: JobId, from: SocketAddr) {
         if let Some((_, request)) = self.job(job, from) {
             if let Phase::Stages { accepted, .. } = &mut request.phase {
                 *accepted = true;
@@ -149,7 +149,7 @@
     }
 
     /// All stages of a job are done.
-    pub fn ready(&mut self, job: JobId, from: SocketAddr, table: &Table, now: Timestamp) {
+    pub fn stages_ready(&mut self, job: JobId, from: SocketAddr, table: &Table, now: Timestamp) {
         let Some((caller, request)) = self.job(job, from) else {
             return;
         };
@@ -161,21 +161,21 @@
         request.phase = Phase::Running;
         let (route, arrived) = (request.route.name.clone(), request.arrived);
         if let Some(took) = self.elapsed_since(arrived, now) {
-            self.durations.took(&route, Part::Stages, 1, took);
+            self.durations.record(&route, Span::Stages, 1, took);
         }
         self.dispatch(caller, table, now);
     }
 
-    /// An owner abandoned a job.
-    pub fn given_up(
+    /// An owner refused or cancelled a job.
+    pub fn job_cancelled(
         &mut self,
         job: JobId,
         from: SocketAddr,
-        given_up: GivenUp,
+        cancelled: CancelledJob,
         table: &Table,
         now: Timestamp,
     ) {
-        let GivenUp { reason, untouched, retry_after } = given_up;
+        let CancelledJob { reason, untouched, retry_after } = cancelled;
         let Some((caller, request)) = self.job(job, from) else {
             return;
         };
@@ -207,7 +207,7 @@
     }
 
     /// An owner failed: its jobs are submitted to other owners.
-    pub fn owner_lost(&mut self, address: SocketAddr, incarnation: u64) {
+    pub fn owner_removed(&mut self, address: SocketAddr, incarnation: u64) {
         self.peer_lags.remove(&address);
         let with_owner = self.callers_where(|r| {
             let owner_incarnation = match r.phase {
--- a/src/direct/requests/stopping.rs
+++ b/src/direct/requests/stopping.rs
@@ -6,7 +6,7 @@
 use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::published::model::Name;
 use crate::direct::requests::Requests;
-use crate::direct::requests::experience::{Part, Sure, must_be};
+use crate::direct::requests::durations::{Confidence, Span, required_confidence};
 use crate::direct::requests::request::{Phase, Request};
 use crate::direct::stop::Stop;
 use crate::message::Timestamp;
@@ -24,7 +24,7 @@
     /// Whether other gateways serve.
     pub others_serve: bool,
     /// Delay after which refused callers should retry.
-    pub come_back_after: Duration,
+    pub retry_after: Duration,
 }
 
 /// Phase of a request at which it is checked whether it can finish.
@@ -45,17 +45,17 @@
     }
 
     /// The span of the request that is still ahead.
-    const fn remaining_span(self) -> Part {
+    const fn remaining_span(self) -> Span {
         match self {
-            Self::Arrival => Part::Whole,
-            Self::Stages | Self::Dispatch => Part::Run,
+            Self::Arrival => Span::Total,
+            Self::Stages | Self::Dispatch => Span::Run,
         }
     }
 }
 
 impl Requests {
     /// The process is stopping; called again with each event to update the state.
-    pub fn stopping(&mut self, stopping: Stopping, now: Timestamp) {
+    pub fn set_stopping(&mut self, stopping: Stopping, now: Timestamp) {
         self.stopping = Some(stopping);
         if now >= self.running_sampled_at + SAMPLE_INTERVAL {
             self.running_sampled_at = now;
@@ -73,7 +73,7 @@
 
     /// Delay after which callers refused by an unconfigured or stopping process should retry.
     pub(super) fn retry_elsewhere_after(&self) -> Duration {
-        self.stopping.map_or(crate::direct::requests::RETRY_ELSEWHERE, |s| s.come_back_after)
+        self.stopping.map_or(crate::direct::requests::RETRY_ELSEWHERE, |s| s.retry_after)
     }
 
     /// Whether new requests are considered.
@@ -96,7 +96,7 @@
         let Some(Stopping { stop, others_serve, .. }) = self.stopping else {
             return (true, None);
         };
-        let confidence = must_be(
+        let confidence = required_confidence(
             stop.elapsed(now),
             at == Checkpoint::Arrival,
             request.route.streams,
@@ -107,7 +107,7 @@
         let expected = self.durations.expected(route, at.remaining_span(), size, confidence);
         // A young process has no samples. Where a typical duration would suffice, it accepts,
         // because a refusal has a certain cost.
-        let unknown = if confidence == Sure::Usually { Duration::ZERO } else { time_left };
+        let unknown = if confidence == Confidence::Typical { Duration::ZERO } else { time_left };
         let expected = expected.unwrap_or(unknown) + self.stages_time_left(request, at, now);
         let expected = expected.min(time_left);
         let taken = match at {
@@ -125,7 +125,8 @@
         if at != Checkpoint::Stages {
             return Duration::ZERO;
         }
-        let typical = self.durations.expected(&request.route.name, Part::Stages, 1, Sure::Usually);
+        let typical =
+            self.durations.expected(&request.route.name, Span::Stages, 1, Confidence::Typical);
         typical.unwrap_or_default().saturating_sub(now.saturating_sub(request.arrived))
     }
 
@@ -181,9 +182,9 @@
 
     /// Whether the stages of a route finish before the process ends, by the longest observed
     /// duration.
-    pub fn stages_can_end(&self, route: &Name, longest: Duration, now: Timestamp) -> bool {
+    pub fn stages_can_finish(&self, route: &Name, longest: Duration, now: Timestamp) -> bool {
         self.stopping.is_none_or(|s| {
-            let expected = self.durations.expected(route, Part::Stages, 1, Sure::Surely);
+            let expected = self.durations.expected(route, Span::Stages, 1, Confidence::UpperBound);
             s.stop.is_before_end(now + expected.map_or(longest, |e| e.min(longest)))
         })
     }
@@ -227,14 +228,14 @@
             return;
         };
         let (route, size) = (&request.route.name, request.size());
-        for (span, since) in [(Part::Whole, request.arrived), (Part::Run, ordered_at)] {
+        for (span, since) in [(Span::Total, request.arrived), (Span::Run, ordered_at)] {
             let Some(took) = self.elapsed_since(since, now) else {
                 continue;
             };
             if is_complete {
-                self.durations.took(route, span, size, took);
+                self.durations.record(route, span, size, took);
             } else {
-                self.durations.took_more(route, span, size, took);
+                self.durations.record_lower_bound(route, span, size, took);
             }
         }
     }
--- a/tests/directenv/world.rs
+++ b/tests/directenv/world.rs
@@ -17,7 +17,7 @@
 use stackmast::direct::poison::fingerprint::Fingerprint;
 use stackmast::direct::published::model::{Repeat, Route};
 use stackmast::direct::repeats::RepeatBudget;
-use stackmast::direct::requests::early::SETTLING;
+use stackmast::direct::requests::deferred::SETTLING;
 
 pub const GATEWAYS: u16 = 3;
 const CALLERS: u64 = 24;
