--- a/src/direct/backoff.rs
+++ b/src/direct/backoff.rs
@@ -63,14 +63,14 @@
         backoff: Backoff,
         at: Timestamp,
     ) -> Option<Timestamp> {
-        let asked = match backoff {
+        let requested = match backoff {
             Backoff::For(time) => time.min(MAX_PAUSE),
             Backoff::Unclear => UNPARSABLE_BACKOFF,
         };
-        if asked.is_zero() {
+        if requested.is_zero() {
             return None;
         }
-        let until = at + asked + self.delay(endpoint, asked);
+        let until = at + requested + self.delay(endpoint, requested);
         let known = self.endpoints.get(&endpoint.id);
         if known.is_some_and(|k| k.incarnation == endpoint.incarnation && k.until >= until) {
             return None;
@@ -82,9 +82,9 @@
     }
 
     /// Delay that this gateway adds to a pause.
-    fn delay(&self, endpoint: &Endpoint, asked: Duration) -> Duration {
+    fn delay(&self, endpoint: &Endpoint, requested: Duration) -> Duration {
         let random = xxh3_64_with_seed(endpoint.id.as_bytes(), self.seed) as f64 / u64::MAX as f64;
-        asked.mul_f64(MAX_DELAY_SHARE).min(MAX_DELAY).mul_f64(random)
+        requested.mul_f64(MAX_DELAY_SHARE).min(MAX_DELAY).mul_f64(random)
     }
 
     /// If the maximum is reached, removes expired pauses, and then, if needed, the one that ends
--- a/src/direct/cold.rs
+++ b/src/direct/cold.rs
@@ -106,7 +106,7 @@
     /// Records how much longer an endpoint reports to be cold.
     pub fn reported(&mut self, endpoint: &Endpoint, left: Duration, now: Timestamp) {
         if !left.is_zero() {
-            return self.until(endpoint, false, now + left.min(MAX_COLD), now);
+            return self.set_cold(endpoint, false, now + left.min(MAX_COLD), now);
         }
         let known = self.endpoints.get(&endpoint.id);
         if known.is_some_and(|c| !c.is_assumed || c.incarnation != endpoint.incarnation) {
@@ -122,7 +122,7 @@
         cold_start: ColdStart,
         now: Timestamp,
     ) {
-        self.until(endpoint, true, now + RETRY_INTERVAL + cold_start.lasts, now);
+        self.set_cold(endpoint, true, now + RETRY_INTERVAL + cold_start.lasts, now);
     }
 
     /// Assumes the endpoints of data centres whose evacuation ended to be cold: they may have
@@ -139,12 +139,18 @@
             };
             let returned = table.pool_endpoints(&pool.name).iter();
             for endpoint in returned.filter(|e| data_centres.contains(&e.data_centre)) {
-                self.until(endpoint, true, now + cold_start.lasts, now);
+                self.set_cold(endpoint, true, now + cold_start.lasts, now);
             }
         }
     }
 
-    fn until(&mut self, endpoint: &Endpoint, is_assumed: bool, until: Timestamp, now: Timestamp) {
+    fn set_cold(
+        &mut self,
+        endpoint: &Endpoint,
+        is_assumed: bool,
+        until: Timestamp,
+        now: Timestamp,
+    ) {
         let incarnation = endpoint.incarnation;
         if let Some(cold) = self.endpoints.get_mut(&endpoint.id)
             && cold.incarnation == incarnation
@@ -178,7 +184,8 @@
         let period = period(cold_start, gateways);
         let wait = Duration::try_from_secs_f64(period.as_secs_f64() * cold.periods_to_slot);
         let first = cold.since.max(may_start).saturating_add(wait.unwrap_or(Duration::MAX));
-        Some(next_slot(first, period, now).min(cold.until)).filter(|opens| *opens > now)
+        Some(next_slot(first, period, now).min(cold.until))
+            .filter(|available_at| *available_at > now)
     }
 
     /// Records that a number of requests were sent to an endpoint together.
--- a/src/direct/departures.rs
+++ b/src/direct/departures.rs
@@ -112,19 +112,19 @@
         if !self.has_changes {
             return Vec::new();
         }
-        let mut news = Vec::new();
+        let mut changes = Vec::new();
         for (departure, entry) in
             self.entries.iter_mut().filter(|(_, entry)| entry.heartbeats_left > 0)
         {
             if is_listed_as_leaving(departure) {
                 entry.heartbeats_left = 0;
-            } else if news.len() < MAX_PER_HEARTBEAT {
+            } else if changes.len() < MAX_PER_HEARTBEAT {
                 entry.heartbeats_left -= 1;
-                news.push(departure.clone());
+                changes.push(departure.clone());
             }
         }
         self.has_changes = self.entries.values().any(|entry| entry.heartbeats_left > 0);
-        news
+        changes
     }
 
     /// Departures sent to a gateway that joins: the latest ones that the list does not show.
@@ -140,8 +140,8 @@
             .collect()
     }
 
-    /// Removes departures not listed or announced for [`RETENTION`]; returns whether any
-    /// was removed.
+    /// Removes departures not listed or announced for [`RETENTION`]; returns whether any was
+    /// removed.
     pub fn expire(&mut self, is_listed: impl Fn(&Departure) -> bool, now: Timestamp) -> bool {
         if now < self.next_expiry {
             return false;
--- a/src/direct/gates.rs
+++ b/src/direct/gates.rs
@@ -73,7 +73,7 @@
     pub fn is_open(
         &self,
         endpoint: &Endpoint,
-        asked: CallKind,
+        kind: CallKind,
         permit: Option<Timestamp>,
         now: Timestamp,
     ) -> bool {
@@ -84,7 +84,7 @@
         let gate = gates.get(&(endpoint.id.clone(), endpoint.incarnation));
         gate.is_none_or(|gate| {
             let is_permitted = !gate.is_limited || permit.is_some_and(|until| now < until);
-            let is_accepted = !gate.leaving || asked == CallKind::Free;
+            let is_accepted = !gate.leaving || kind == CallKind::Free;
             now >= gate.until && is_accepted && is_permitted
         })
     }
--- a/src/direct/limits/known.rs
+++ b/src/direct/limits/known.rs
@@ -101,7 +101,8 @@
     has_changes: bool,
     /// When entries are next checked for expiry.
     next_expiry: Timestamp,
-    /// Incarnations whose limit ended and that were still limited at the last [`Self::take_freed`].
+    /// Incarnations whose limit ended and that were not yet unlimited at the last
+    /// [`Self::take_unlimited`].
     ramping: Vec<EndpointIncarnation>,
 }
 
@@ -111,16 +112,19 @@
     }
 
     fn iter(&self) -> impl Iterator<Item = (&Name, u64, &Entry)> {
-        let lives = |(id, lives)| std::iter::repeat(id).zip(lives);
-        self.endpoints.iter().flat_map(lives).map(|(id, (life, known))| (id, *life, known))
+        let incarnations = |(id, incarnations)| std::iter::repeat(id).zip(incarnations);
+        self.endpoints
+            .iter()
+            .flat_map(incarnations)
+            .map(|(id, (incarnation, entry))| (id, *incarnation, entry))
     }
 
     fn remove(&mut self, (id, incarnation): &EndpointIncarnation) {
-        let Some(lives) = self.endpoints.get_mut(id) else {
+        let Some(incarnations) = self.endpoints.get_mut(id) else {
             return;
         };
-        self.count -= usize::from(lives.remove(incarnation).is_some());
-        if lives.is_empty() {
+        self.count -= usize::from(incarnations.remove(incarnation).is_some());
+        if incarnations.is_empty() {
             self.endpoints.remove(id);
         }
     }
@@ -128,9 +132,9 @@
     /// Whether a response with this limit, or with none, changes the entry. `sent` is when the
     /// message was sent to which the endpoint responded.
     pub fn is_changed_by(&self, endpoint: &Endpoint, limit: RateLimit, sent: Timestamp) -> bool {
-        let known = self.get(&endpoint.id, endpoint.incarnation);
-        let is_newer = known.is_none_or(|known| sent >= known.since);
-        match (known.map(|known| known.limit), limit) {
+        let entry = self.get(&endpoint.id, endpoint.incarnation);
+        let is_newer = entry.is_none_or(|entry| sent >= entry.since);
+        match (entry.map(|entry| entry.limit), limit) {
             (None | Some(RateLimit::None), RateLimit::None) => false,
             (None | Some(RateLimit::None), RateLimit::At(_)) => true,
             (Some(RateLimit::At(known)), RateLimit::At(stated)) => {
@@ -142,45 +146,50 @@
 
     /// Records the limit of a response, if [`Self::is_changed_by`] returned true for it.
     pub fn record(&mut self, endpoint: &Endpoint, limit: RateLimit, now: Timestamp) {
-        let known = self.get(&endpoint.id, endpoint.incarnation);
-        let version = known.map_or(0, |known| known.version).saturating_add(1);
+        let entry = self.get(&endpoint.id, endpoint.incarnation);
+        let version = entry.map_or(0, |entry| entry.version).saturating_add(1);
         self.set((endpoint.id.clone(), endpoint.incarnation), version, limit, now);
     }
 
     /// Whether a gossiped limit replaces the known one.
-    pub fn is_superseded_by(&self, told: &AnnouncedLimit) -> bool {
-        let known = self.get(&told.endpoint, told.incarnation);
-        known.is_none_or(|known| known.is_superseded_by(told.version, told.limit))
+    pub fn is_superseded_by(&self, received: &AnnouncedLimit) -> bool {
+        let entry = self.get(&received.endpoint, received.incarnation);
+        entry.is_none_or(|entry| entry.is_superseded_by(received.version, received.limit))
     }
 
     /// Records a gossiped limit, if [`Self::is_superseded_by`] returned true for it.
-    pub fn merge(&mut self, told: &AnnouncedLimit, now: Timestamp) {
-        self.set((told.endpoint.clone(), told.incarnation), told.version, told.limit, now);
+    pub fn merge(&mut self, received: &AnnouncedLimit, now: Timestamp) {
+        self.set(
+            (received.endpoint.clone(), received.incarnation),
+            received.version,
+            received.limit,
+            now,
+        );
     }
 
-    fn set(&mut self, life: EndpointIncarnation, version: u64, limit: RateLimit, now: Timestamp) {
-        let before = self.get(&life.0, life.1).map(|known| known.last_announced);
-        if before.is_none() {
+    fn set(&mut self, key: EndpointIncarnation, version: u64, limit: RateLimit, now: Timestamp) {
+        let previous = self.get(&key.0, key.1).map(|entry| entry.last_announced);
+        if previous.is_none() {
             self.evict_one(now);
             self.count += 1;
         }
         let last_announced = match limit {
             RateLimit::At(rate) => rate,
-            RateLimit::None => before.unwrap_or(RequestRate::ONE),
+            RateLimit::None => previous.unwrap_or(RequestRate::ONE),
         };
-        self.ramping.retain(|ramping| *ramping != life);
+        self.ramping.retain(|ramping| *ramping != key);
         if limit == RateLimit::None {
-            self.ramping.push(life.clone());
+            self.ramping.push(key.clone());
         }
         self.has_changes = true;
-        let known = Entry {
+        let entry = Entry {
             version,
             limit,
             last_announced,
             since: now,
             heartbeats_left: HEARTBEATS_PER_CHANGE,
         };
-        self.endpoints.entry(life.0).or_default().insert(life.1, known);
+        self.endpoints.entry(key.0).or_default().insert(key.1, entry);
     }
 
     /// Removes one entry if the maximum is reached: one without a limit in force if there is one,
@@ -189,10 +198,10 @@
         if self.count < MAX_ENTRIES {
             return;
         }
-        let order = |known: &Entry| (known.rate(now).is_some(), known.since);
-        let first = self.iter().min_by_key(|(_, _, known)| order(known));
-        if let Some(life) = first.map(|(id, life, _)| (id.clone(), life)) {
-            self.remove(&life);
+        let order = |entry: &Entry| (entry.rate(now).is_some(), entry.since);
+        let first = self.iter().min_by_key(|(_, _, entry)| order(entry));
+        if let Some(key) = first.map(|(id, incarnation, _)| (id.clone(), incarnation)) {
+            self.remove(&key);
         }
     }
 
@@ -203,19 +212,19 @@
     }
 
     /// Same as [`Self::rate`], by incarnation.
-    pub fn rate_of(&self, life: &EndpointIncarnation, now: Timestamp) -> Option<RequestRate> {
-        self.get(&life.0, life.1)?.rate(now)
+    pub fn rate_of(&self, key: &EndpointIncarnation, now: Timestamp) -> Option<RequestRate> {
+        self.get(&key.0, key.1)?.rate(now)
     }
 
     /// The entry of an endpoint, in the form in which it is gossiped.
     pub fn announcement(&self, endpoint: &Endpoint) -> Option<AnnouncedLimit> {
-        let known = self.get(&endpoint.id, endpoint.incarnation)?;
-        Some(announcement(&endpoint.id, endpoint.incarnation, known))
+        let entry = self.get(&endpoint.id, endpoint.incarnation)?;
+        Some(announcement(&endpoint.id, endpoint.incarnation, entry))
     }
 
     /// All known incarnations.
     pub fn incarnations(&self) -> impl Iterator<Item = (&Name, u64)> {
-        self.iter().map(|(id, life, _)| (id, life))
+        self.iter().map(|(id, incarnation, _)| (id, incarnation))
     }
 
     /// Returns the incarnations that became unlimited since the last call.
@@ -224,7 +233,7 @@
             return Vec::new();
         }
         let mut ramping = std::mem::take(&mut self.ramping);
-        let is_unlimited = |life: &mut EndpointIncarnation| self.rate_of(life, now).is_none();
+        let is_unlimited = |key: &mut EndpointIncarnation| self.rate_of(key, now).is_none();
         let unlimited = ramping.extract_if(.., is_unlimited).collect();
         self.ramping = ramping;
         unlimited
@@ -232,8 +241,8 @@
 
     /// When the next incarnation becomes unlimited.
     pub fn next_unlimited(&self) -> Option<Timestamp> {
-        let since = self.ramping.iter().filter_map(|life| self.get(&life.0, life.1));
-        since.map(|known| known.since + UNLIMITED_AFTER).min()
+        let since = self.ramping.iter().filter_map(|key| self.get(&key.0, key.1));
+        since.map(|entry| entry.since + UNLIMITED_AFTER).min()
     }
 
     /// Whether entries have to be gossiped or checked for expiry.
@@ -243,33 +252,38 @@
 
     /// Changed limits to gossip with the next heartbeat.
     pub fn take_changes(&mut self) -> Vec<AnnouncedLimit> {
-        let mut news = Vec::new();
+        let mut changes = Vec::new();
         self.has_changes = false;
-        for (id, lives) in &mut self.endpoints {
-            for (life, known) in lives.iter_mut().filter(|(_, known)| known.heartbeats_left > 0) {
-                if news.len() < MAX_PER_HEARTBEAT {
-                    known.heartbeats_left -= 1;
-                    news.push(announcement(id, *life, known));
+        for (id, incarnations) in &mut self.endpoints {
+            for (incarnation, entry) in
+                incarnations.iter_mut().filter(|(_, entry)| entry.heartbeats_left > 0)
+            {
+                if changes.len() < MAX_PER_HEARTBEAT {
+                    entry.heartbeats_left -= 1;
+                    changes.push(announcement(id, *incarnation, entry));
                 }
-                self.has_changes |= known.heartbeats_left > 0;
+                self.has_changes |= entry.heartbeats_left > 0;
             }
         }
-        news
+        changes
     }
 
     /// Limits sent to a gateway that joins: those in force, the most recently changed first.
     pub fn newest(&self, now: Timestamp) -> Vec<AnnouncedLimit> {
-        let mut in_force: Vec<_> = self.iter().filter(|(.., k)| k.rate(now).is_some()).collect();
-        in_force.sort_unstable_by_key(|(id, life, known)| (Reverse(known.since), *id, *life));
+        let mut in_force: Vec<_> =
+            self.iter().filter(|(.., entry)| entry.rate(now).is_some()).collect();
+        in_force.sort_unstable_by_key(|(id, incarnation, entry)| {
+            (Reverse(entry.since), *id, *incarnation)
+        });
         in_force
             .into_iter()
             .take(MAX_PER_HEARTBEAT)
-            .map(|(id, life, known)| announcement(id, life, known))
+            .map(|(id, incarnation, entry)| announcement(id, incarnation, entry))
             .collect()
     }
 
-    /// Removes entries that have not changed for [`RETENTION`] and whose incarnation is not listed or
-    /// not limited; returns their incarnations.
+    /// Removes entries that have not changed for [`RETENTION`] and whose incarnation is not listed
+    /// or not limited; returns their incarnations.
     pub fn expire(
         &mut self,
         is_listed: impl Fn(&EndpointIncarnation) -> bool,
@@ -279,11 +293,12 @@
             return Vec::new();
         }
         self.next_expiry = now + EXPIRY_INTERVAL;
-        let lives = self.iter().map(|(id, life, known)| ((id.clone(), life), known));
-        let old = lives.filter(|(_, known)| now >= known.since + RETENTION);
-        let expired = old.filter(|(life, known)| known.rate(now).is_none() || !is_listed(life));
-        let expired: Vec<EndpointIncarnation> = expired.map(|(life, _)| life).collect();
-        expired.iter().for_each(|life| self.remove(life));
+        let incarnations =
+            self.iter().map(|(id, incarnation, entry)| ((id.clone(), incarnation), entry));
+        let old = incarnations.filter(|(_, entry)| now >= entry.since + RETENTION);
+        let expired = old.filter(|(key, entry)| entry.rate(now).is_none() || !is_listed(key));
+        let expired: Vec<EndpointIncarnation> = expired.map(|(key, _)| key).collect();
+        expired.iter().for_each(|key| self.remove(key));
         expired
     }
 
@@ -298,11 +313,11 @@
     }
 }
 
-fn announcement(endpoint: &Name, incarnation: u64, known: &Entry) -> AnnouncedLimit {
+fn announcement(endpoint: &Name, incarnation: u64, entry: &Entry) -> AnnouncedLimit {
     AnnouncedLimit {
         endpoint: endpoint.clone(),
         incarnation,
-        version: known.version,
-        limit: known.limit,
+        version: entry.version,
+        limit: entry.limit,
     }
 }
--- a/src/direct/limits/limiter.rs
+++ b/src/direct/limits/limiter.rs
@@ -73,7 +73,7 @@
 #[derive(Debug)]
 struct Endpoint {
     /// Nominal time of the last permit, which was issued then or up to one interval later; see
-    /// [`Self::give`].
+    /// [`Self::issue`].
     last_issued: Timestamp,
     queue: BTreeMap<Rank, Asker>,
     /// When the first queued request is due, as last calculated.
@@ -81,7 +81,7 @@
 }
 
 impl Endpoint {
-    /// When a request with `others` requests queued before it gets a permit.
+    /// When a request with `ahead` requests queued before it gets a permit.
     fn available_at(&self, pace: Pace, ahead: usize, now: Timestamp) -> Timestamp {
         self.last_issued.saturating_add(pace.0).max(now).saturating_add(pace.times(ahead))
     }
@@ -127,26 +127,27 @@
     /// interval, since the limit was learned from a response to a message that has just been sent.
     pub fn request(
         &mut self,
-        life: &EndpointIncarnation,
+        incarnation: &EndpointIncarnation,
         pace: Pace,
-        ask: PermitRequest,
+        request: PermitRequest,
         now: Timestamp,
     ) -> Vec<PermitDecision> {
         self.arrivals += 1;
         let new_entry = || Endpoint { last_issued: now, queue: BTreeMap::new(), due: None };
-        let endpoint = self.endpoints.entry(life.clone()).or_insert_with(new_entry);
+        let endpoint = self.endpoints.entry(incarnation.clone()).or_insert_with(new_entry);
         let mut decisions = Vec::new();
         endpoint.serve(pace, now, &mut decisions);
-        let rank = (ask.priority, ask.latest, self.arrivals);
+        let rank = (request.priority, request.latest, self.arrivals);
         let ahead = endpoint.queue.range(..rank).count();
         let available_at = endpoint.available_at(pace, ahead, now);
         if available_at <= now {
             endpoint.issue(pace, now);
-            decisions.push(PermitDecision::Granted(ask.asker));
-        } else if available_at > ask.latest || endpoint.queue.len() >= MAX_QUEUED {
-            decisions.push(PermitDecision::Refused(ask.asker, available_at.saturating_sub(now)));
+            decisions.push(PermitDecision::Granted(request.asker));
+        } else if available_at > request.latest || endpoint.queue.len() >= MAX_QUEUED {
+            decisions
+                .push(PermitDecision::Refused(request.asker, available_at.saturating_sub(now)));
         } else {
-            endpoint.queue.insert(rank, ask.asker);
+            endpoint.queue.insert(rank, request.asker);
             endpoint.serve(pace, now, &mut decisions);
         }
         decisions
@@ -163,11 +164,11 @@
         now: Timestamp,
     ) -> Vec<PermitDecision> {
         let mut decisions = Vec::new();
-        self.endpoints.retain(|life, endpoint| {
-            if changed != Some(life) && endpoint.due.is_none_or(|due| now < due) {
+        self.endpoints.retain(|incarnation, endpoint| {
+            if changed != Some(incarnation) && endpoint.due.is_none_or(|due| now < due) {
                 return true;
             }
-            let Some(pace) = pace(life) else {
+            let Some(pace) = pace(incarnation) else {
                 let queue = std::mem::take(&mut endpoint.queue).into_values();
                 decisions.extend(queue.map(|asker| PermitDecision::Refused(asker, retry)));
                 return false;
--- a/src/direct/limits/permits.rs
+++ b/src/direct/limits/permits.rs
@@ -64,7 +64,7 @@
 }
 
 impl PendingPermit {
-    fn given_up(&self) -> Timestamp {
+    fn times_out_at(&self) -> Timestamp {
         self.sent_at.saturating_add(self.wanted.wait).saturating_add(DECISION_TIMEOUT)
     }
 }
@@ -73,59 +73,59 @@
 #[derive(Debug, Default)]
 pub struct PendingPermits {
     last_number: u64,
-    asked: BTreeMap<u64, PendingPermit>,
-    given_up: BTreeSet<(Timestamp, u64)>,
+    pending: BTreeMap<u64, PendingPermit>,
+    timeouts: BTreeSet<(Timestamp, u64)>,
 }
 
 impl PendingPermits {
     /// Records a permit request; returns its number.
-    pub fn add(&mut self, asked: PendingPermit) -> u64 {
+    pub fn add(&mut self, pending: PendingPermit) -> u64 {
         self.last_number += 1;
-        self.given_up.insert((asked.given_up(), self.last_number));
-        self.asked.insert(self.last_number, asked);
+        self.timeouts.insert((pending.times_out_at(), self.last_number));
+        self.pending.insert(self.last_number, pending);
         self.last_number
     }
 
     /// Removes and returns the request that a limiter decided; `None` if none with this number is
     /// pending there.
     pub fn take_decided(&mut self, limiter: SocketAddr, number: u64) -> Option<PendingPermit> {
-        let asked = self.asked.get(&number).filter(|asked| asked.limiter == limiter)?;
-        self.given_up.remove(&(asked.given_up(), number));
-        self.asked.remove(&number)
+        let pending = self.pending.get(&number).filter(|pending| pending.limiter == limiter)?;
+        self.timeouts.remove(&(pending.times_out_at(), number));
+        self.pending.remove(&number)
     }
 
     /// Removes and returns the requests that were not decided in time.
     pub fn take_overdue(&mut self, now: Timestamp) -> Vec<PendingPermit> {
         let mut overdue = Vec::new();
-        while let Some((_, number)) = self.given_up.first().copied().filter(|(at, _)| now >= *at) {
-            self.given_up.pop_first();
-            overdue.extend(self.asked.remove(&number));
+        while let Some((_, number)) = self.timeouts.first().copied().filter(|(at, _)| now >= *at) {
+            self.timeouts.pop_first();
+            overdue.extend(self.pending.remove(&number));
         }
         overdue
     }
 
     /// Removes and returns the requests that were sent to a gateway.
     pub fn take_sent_to(&mut self, limiter: SocketAddr) -> Vec<PendingPermit> {
-        let sent = self.asked.extract_if(.., |_, asked| asked.limiter == limiter);
+        let sent = self.pending.extract_if(.., |_, pending| pending.limiter == limiter);
         let sent: Vec<_> = sent.collect();
-        for (number, asked) in &sent {
-            self.given_up.remove(&(asked.given_up(), *number));
+        for (number, pending) in &sent {
+            self.timeouts.remove(&(pending.times_out_at(), *number));
         }
-        sent.into_iter().map(|(_, asked)| asked).collect()
+        sent.into_iter().map(|(_, pending)| pending).collect()
     }
 
     /// When [`Self::take_overdue`] is due.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
-        self.given_up.first().map(|(at, _)| *at)
+        self.timeouts.first().map(|(at, _)| *at)
     }
 
     /// Number of pending requests.
     pub fn len(&self) -> usize {
-        self.asked.len()
+        self.pending.len()
     }
 
     /// Whether no request is pending.
     pub fn is_empty(&self) -> bool {
-        self.asked.is_empty()
+        self.pending.is_empty()
     }
 }
--- a/src/direct/limits/retry_times.rs
+++ b/src/direct/limits/retry_times.rs
@@ -22,13 +22,13 @@
 impl RetryTimes {
     /// Records that a permit was refused to a request of this priority, and when one would be
     /// available.
-    pub fn record(&mut self, endpoint: &Endpoint, priority: u8, turn: Timestamp) {
+    pub fn record(&mut self, endpoint: &Endpoint, priority: u8, available_at: Timestamp) {
         let retries = self.endpoints.entry(endpoint.id.clone()).or_default();
         if retries.incarnation != endpoint.incarnation {
             *retries =
                 EndpointRetries { incarnation: endpoint.incarnation, ..EndpointRetries::default() };
         }
-        retries.by_priority.insert(priority, turn);
+        retries.by_priority.insert(priority, available_at);
     }
 
     /// Earliest time for a permit of this priority, as far as is known: the latest retry time among
@@ -36,8 +36,8 @@
     pub fn earliest(&self, endpoint: &Endpoint, priority: u8, now: Timestamp) -> Option<Timestamp> {
         let retries = self.endpoints.get(&endpoint.id)?;
         let is_same = retries.incarnation == endpoint.incarnation;
-        let ahead = retries.by_priority.range(..=priority).map(|(_, turn)| *turn);
-        ahead.filter(|turn| is_same && *turn > now).max()
+        let ahead = retries.by_priority.range(..=priority).map(|(_, available_at)| *available_at);
+        ahead.filter(|available_at| is_same && *available_at > now).max()
     }
 
     /// Removes endpoints that are no longer listed.
--- a/src/direct/log_events/mod.rs
+++ b/src/direct/log_events/mod.rs
@@ -153,9 +153,9 @@
         request: Name,
         /// Id of the endpoint.
         endpoint: Name,
-        /// Why the attempt failed, such as `server error`, `silent` or `not run: 503`.
+        /// Why the attempt failed, such as `server error`, `silent` or `not run: status 503`.
         failure: String,
-        /// `again`, `refused`, `given up`; for a stream `resumed` or `broken off`.
+        /// `again`, `refused` or `abandoned`; for a stream `resumed` or `aborted`.
         next: &'static str,
     },
     /// An endpoint could not fetch the results that a request needs.
@@ -379,7 +379,7 @@
         endpoint: Name,
         /// Whether the endpoint is avoided.
         avoided: bool,
-        /// Cause, such as `unreachable`, `server errors`, `broken streams`, `overdue` or `slow`.
+        /// Cause, such as `unreachable`, `server errors`, `failed streams`, `overdue` or `slow`.
         cause: &'static str,
     },
     /// A peer became known, or is considered down.
--- a/src/direct/poison/suspects.rs
+++ b/src/direct/poison/suspects.rs
@@ -87,7 +87,7 @@
 struct Suspect {
     cleared: u32,
     crashes: Vec<Crash>,
-    came: Timestamp,
+    last_received: Timestamp,
     /// Number of heartbeats that still have to carry this entry.
     heartbeats_left: u8,
 }
@@ -103,17 +103,17 @@
         self.crashes.len() >= POISON_CRASHES && self.rounds() >= POISON_ROUNDS && was_alone
     }
 
-    fn has(&self, crash: &Crash) -> bool {
+    fn contains(&self, crash: &Crash) -> bool {
         self.crashes.iter().any(|own| own.endpoint_incarnation() == crash.endpoint_incarnation())
     }
 
     /// Whether the other fingerprint was running at every crash of this one.
     fn is_explained_by(&self, other: &Self) -> bool {
-        self.crashes.iter().all(|crash| other.has(crash))
+        self.crashes.iter().all(|crash| other.contains(crash))
     }
 
     /// Merges crashes; returns whether anything changed.
-    fn add(&mut self, crashes: &[Crash]) -> bool {
+    fn merge_crashes(&mut self, crashes: &[Crash]) -> bool {
         let before = self.crashes.clone();
         for crash in crashes {
             match self
@@ -137,7 +137,7 @@
 
     /// Sort key when the maximum is exceeded: number of crashes, then the latest time of receipt.
     fn retention_rank(&self) -> (usize, Timestamp) {
-        (self.crashes.len(), self.came)
+        (self.crashes.len(), self.last_received)
     }
 }
 
@@ -223,9 +223,9 @@
     }
 
     /// Whether a gossiped entry contains anything new; most have been received before.
-    pub fn is_new(&self, account: &AnnouncedSuspect, now: Timestamp) -> bool {
-        let came = now.saturating_sub(Duration::from_secs(u64::from(account.age_s)));
-        let Some(known) = self.entries.get(&account.fingerprint) else {
+    pub fn is_new(&self, received: &AnnouncedSuspect, now: Timestamp) -> bool {
+        let last_received = now.saturating_sub(Duration::from_secs(u64::from(received.age_s)));
+        let Some(known) = self.entries.get(&received.fingerprint) else {
             return true;
         };
         let covers = |crash: &Crash| {
@@ -235,21 +235,22 @@
                 .find(|own| own.endpoint_incarnation() == crash.endpoint_incarnation());
             same.is_some_and(|own| own.round >= crash.round && (own.alone || !crash.alone))
         };
-        let is_later = account.cleared > known.cleared || came > known.came + REFRESH_INTERVAL;
-        let adds = account.cleared == known.cleared && !account.crashes.iter().all(covers);
+        let is_later = received.cleared > known.cleared
+            || last_received > known.last_received + REFRESH_INTERVAL;
+        let adds = received.cleared == known.cleared && !received.crashes.iter().all(covers);
         is_later || adds
     }
 
     /// Merges entries from another gateway; returns what is newly quarantined.
-    pub fn merge(&mut self, accounts: &[AnnouncedSuspect], now: Timestamp) -> Vec<Quarantined> {
-        for account in accounts {
-            let age = Duration::from_secs(u64::from(account.age_s));
+    pub fn merge(&mut self, announced: &[AnnouncedSuspect], now: Timestamp) -> Vec<Quarantined> {
+        for received in announced {
+            let age = Duration::from_secs(u64::from(received.age_s));
             if age >= RETENTION {
                 continue;
             }
-            let came = now.saturating_sub(age);
-            let AnnouncedSuspect { fingerprint, cleared, crashes, .. } = account;
-            self.merge_entry(*fingerprint, *cleared, crashes, came);
+            let last_received = now.saturating_sub(age);
+            let AnnouncedSuspect { fingerprint, cleared, crashes, .. } = received;
+            self.merge_entry(*fingerprint, *cleared, crashes, last_received);
         }
         self.evict();
         self.update_quarantine()
@@ -260,26 +261,26 @@
         fingerprint: Fingerprint,
         cleared: u32,
         crashes: &[Crash],
-        came: Timestamp,
+        last_received: Timestamp,
     ) {
         let suspect = self.entries.entry(fingerprint).or_insert_with(|| Suspect {
             cleared,
             crashes: Vec::new(),
-            came,
+            last_received,
             heartbeats_left: HEARTBEATS_PER_CHANGE,
         });
         if cleared < suspect.cleared {
             return;
         }
-        let mut is_news = cleared > suspect.cleared;
-        if is_news {
+        let mut is_changed = cleared > suspect.cleared;
+        if is_changed {
             suspect.cleared = cleared;
             suspect.crashes.clear();
         }
-        is_news |= suspect.add(crashes);
-        is_news |= came > suspect.came + REFRESH_INTERVAL;
-        if is_news {
-            suspect.came = suspect.came.max(came);
+        is_changed |= suspect.merge_crashes(crashes);
+        is_changed |= last_received > suspect.last_received + REFRESH_INTERVAL;
+        if is_changed {
+            suspect.last_received = suspect.last_received.max(last_received);
             suspect.heartbeats_left = HEARTBEATS_PER_CHANGE;
         }
     }
@@ -310,10 +311,10 @@
         let before = std::mem::take(&mut self.quarantined);
         self.quarantined = quarantined.collect();
         let newly = self.quarantined.difference(&before);
-        newly.map(|fingerprint| self.quarantine(*fingerprint)).collect()
+        newly.map(|fingerprint| self.to_quarantined(*fingerprint)).collect()
     }
 
-    fn quarantine(&self, fingerprint: Fingerprint) -> Quarantined {
+    fn to_quarantined(&self, fingerprint: Fingerprint) -> Quarantined {
         let crashes = self.entries.get(&fingerprint).map(|suspect| &suspect.crashes);
         let endpoints = crashes.into_iter().flatten().map(|crash| crash.endpoint.clone());
         Quarantined { fingerprint, endpoints: endpoints.collect() }
@@ -329,33 +330,33 @@
         };
         suspect.cleared += 1;
         suspect.crashes.clear();
-        suspect.came = now;
+        suspect.last_received = now;
         suspect.heartbeats_left = HEARTBEATS_PER_CHANGE;
         self.update_quarantine()
     }
 
     /// Whether a repeated request has to be recorded and gossiped.
     pub fn is_refreshed_by(&self, fingerprint: Fingerprint, now: Timestamp) -> bool {
-        self.entries.get(&fingerprint).is_some_and(|s| now > s.came + REFRESH_INTERVAL)
+        self.entries.get(&fingerprint).is_some_and(|s| now > s.last_received + REFRESH_INTERVAL)
     }
 
     /// Records that a quarantined request was received again, which extends the time for which it
     /// is kept.
     pub fn record_repeat(&mut self, fingerprint: Fingerprint, now: Timestamp) {
         if let Some(suspect) = self.entries.get_mut(&fingerprint) {
-            suspect.came = now;
+            suspect.last_received = now;
             suspect.heartbeats_left = HEARTBEATS_PER_CHANGE;
         }
     }
 
     /// Whether an entry has expired.
     pub fn has_expired(&self, now: Timestamp) -> bool {
-        self.entries.values().any(|suspect| now >= suspect.came + RETENTION)
+        self.entries.values().any(|suspect| now >= suspect.last_received + RETENTION)
     }
 
     /// Removes expired entries.
     pub fn expire(&mut self, now: Timestamp) {
-        self.entries.retain(|_, suspect| now < suspect.came + RETENTION);
+        self.entries.retain(|_, suspect| now < suspect.last_received + RETENTION);
         self.update_quarantine();
     }
 
@@ -365,7 +366,7 @@
         }
         let mut ranks: Vec<_> =
             self.entries.iter().map(|(f, s)| (s.retention_rank(), *f)).collect();
-        ranks.sort_unstable_by_key(|retention_rank| Reverse(*retention_rank));
+        ranks.sort_unstable_by_key(|rank| Reverse(*rank));
         for (_, fingerprint) in ranks.split_off(MAX_ENTRIES) {
             self.entries.remove(&fingerprint);
         }
@@ -378,19 +379,19 @@
 
     /// Updates to gossip with the next heartbeat.
     pub fn take_changes(&mut self, now: Timestamp) -> Vec<AnnouncedSuspect> {
-        let news = self.entries.iter().filter(|(_, suspect)| suspect.heartbeats_left > 0);
-        let mut news: Vec<_> =
-            news.map(|(f, s)| ((s.heartbeats_left, s.retention_rank()), *f)).collect();
-        news.sort_unstable_by_key(|((_, retention_rank), f)| Reverse((*retention_rank, *f)));
-        news.truncate(MAX_PER_HEARTBEAT);
-        let mut accounts = Vec::with_capacity(news.len());
-        for (_, fingerprint) in news {
+        let changes = self.entries.iter().filter(|(_, suspect)| suspect.heartbeats_left > 0);
+        let mut changes: Vec<_> =
+            changes.map(|(f, s)| ((s.heartbeats_left, s.retention_rank()), *f)).collect();
+        changes.sort_unstable_by_key(|((_, rank), f)| Reverse((*rank, *f)));
+        changes.truncate(MAX_PER_HEARTBEAT);
+        let mut announced = Vec::with_capacity(changes.len());
+        for (_, fingerprint) in changes {
             if let Some(suspect) = self.entries.get_mut(&fingerprint) {
                 suspect.heartbeats_left -= 1;
-                accounts.push(account(fingerprint, suspect, now));
+                announced.push(announcement(fingerprint, suspect, now));
             }
         }
-        accounts
+        announced
     }
 
     /// Entries that gateways compare: fingerprints under which several endpoints crashed. Single
@@ -402,12 +403,12 @@
 
     /// Digest of the compared entries; equal if two gateways know the same.
     pub fn digest(&self) -> u64 {
-        let accounts = self.compared().map(|(f, s)| (f, s.cleared, &s.crashes));
-        let accounts: Vec<_> = accounts.collect();
-        if accounts.is_empty() {
+        let announced = self.compared().map(|(f, s)| (f, s.cleared, &s.crashes));
+        let announced: Vec<_> = announced.collect();
+        if announced.is_empty() {
             return 0;
         }
-        xxh3_64(&postcard::to_allocvec(&accounts).unwrap_or_default())
+        xxh3_64(&postcard::to_allocvec(&announced).unwrap_or_default())
     }
 
     /// Entries sent to a gateway whose digest differs.
@@ -415,12 +416,12 @@
         let mut known: Vec<_> = self.compared().collect();
         known.sort_unstable_by_key(|(_, suspect)| Reverse(suspect.retention_rank()));
         known.truncate(MAX_IN_REPLY);
-        known.into_iter().map(|(f, suspect)| account(*f, suspect, now)).collect()
+        known.into_iter().map(|(f, suspect)| announcement(*f, suspect, now)).collect()
     }
 }
 
-fn account(fingerprint: Fingerprint, suspect: &Suspect, now: Timestamp) -> AnnouncedSuspect {
-    let age_s = now.saturating_sub(suspect.came).as_secs();
+fn announcement(fingerprint: Fingerprint, suspect: &Suspect, now: Timestamp) -> AnnouncedSuspect {
+    let age_s = now.saturating_sub(suspect.last_received).as_secs();
     AnnouncedSuspect {
         fingerprint,
         cleared: suspect.cleared,
--- a/src/direct/poison/unanswered.rs
+++ b/src/direct/poison/unanswered.rs
@@ -173,13 +173,13 @@
     /// from here.
     pub fn crashes_reported(
         &mut self,
-        accounts: &[AnnouncedSuspect],
+        received: &[AnnouncedSuspect],
         now: Timestamp,
     ) -> Vec<CrashedEndpoint> {
         if self.calls.is_empty() {
             return Vec::new();
         }
-        let crashes = accounts.iter().flat_map(|account| &account.crashes);
+        let crashes = received.iter().flat_map(|suspect| &suspect.crashes);
         let incarnations = crashes.map(|crash| (crash.endpoint.clone(), crash.incarnation));
         incarnations.filter_map(|incarnation| self.prove(&incarnation, "told", now)).collect()
     }
--- a/src/direct/repeats.rs
+++ b/src/direct/repeats.rs
@@ -43,14 +43,14 @@
 /// Recent sends of one process, by pool.
 #[derive(Debug, Default)]
 pub struct RepeatLimiter {
-    bounds: RepeatBudget,
+    budget: RepeatBudget,
     pools: HashMap<Name, VecDeque<Step>>,
 }
 
 impl RepeatLimiter {
     /// Creates the counters for this budget.
-    pub fn new(bounds: RepeatBudget) -> Self {
-        Self { bounds, pools: HashMap::new() }
+    pub fn new(budget: RepeatBudget) -> Self {
+        Self { budget, pools: HashMap::new() }
     }
 
     /// Records first sends to a pool.
@@ -60,13 +60,13 @@
 
     /// Uses one repeat of the budget, shared by `processes`; returns false if none is left.
     pub fn try_take(&mut self, pool: &Name, processes: usize, now: Timestamp) -> bool {
-        let bounds = self.bounds;
+        let budget = self.budget;
         self.step(pool, now);
         let steps = &self.pools[pool];
         let firsts: u32 = steps.iter().map(|s| s.firsts).sum();
         let repeats: u32 = steps.iter().map(|s| s.repeats).sum();
-        let slack = bounds.slack / processes.max(1) as f64;
-        let allowed = USED_SHARE * (bounds.ratio * f64::from(firsts) + slack);
+        let slack = budget.slack / processes.max(1) as f64;
+        let allowed = USED_SHARE * (budget.ratio * f64::from(firsts) + slack);
         if f64::from(repeats) + 1.0 > allowed {
             return false;
         }
@@ -75,7 +75,7 @@
     }
 
     fn step(&mut self, pool: &Name, now: Timestamp) -> &mut Step {
-        let length = self.bounds.window / STEPS;
+        let length = self.budget.window / STEPS;
         let number = (now.as_nanos() / length.as_nanos().max(1)) as u64;
         let steps = self.pools.entry(pool.clone()).or_default();
         while steps.front().is_some_and(|s| s.number + u64::from(STEPS) < number) {
