--- a/src/direct/cold.rs
+++ b/src/direct/cold.rs
@@ -47,7 +47,8 @@
 struct ColdState {
     incarnation: u64,
     /// Whether the endpoint is only assumed to be cold, after a failed connection or an evacuation.
-    /// An entry that says otherwise is then ignored, since it may have been written before.
+    /// An entry of the same incarnation that reports it as warm is then ignored, since it may have
+    /// been written before.
     is_assumed: bool,
     until: Timestamp,
     /// Number of periods between `since` and the next slot.
--- a/src/direct/event_lag.rs
+++ b/src/direct/event_lag.rs
@@ -14,7 +14,7 @@
 /// host.
 pub const OVERLOAD_LAG: Duration = Duration::from_millis(20);
 /// Lag at which the process no longer counts as overloaded.
-const RECOVERED: Duration = Duration::from_millis(5);
+const RECOVERY_LAG: Duration = Duration::from_millis(5);
 
 /// Smoothed time for which events wait before they are handled.
 #[derive(Debug, Default)]
@@ -41,7 +41,8 @@
     /// Whether the process is overloaded, if that changed since the last call.
     pub fn overload_change(&mut self, now: Timestamp) -> Option<bool> {
         let lag = self.estimate(now);
-        let is_overloaded = if self.is_overloaded { lag > RECOVERED } else { lag >= OVERLOAD_LAG };
+        let is_overloaded =
+            if self.is_overloaded { lag > RECOVERY_LAG } else { lag >= OVERLOAD_LAG };
         (is_overloaded != self.is_overloaded).then(|| {
             self.is_overloaded = is_overloaded;
             is_overloaded
--- a/src/direct/limits/mod.rs
+++ b/src/direct/limits/mod.rs
@@ -4,11 +4,11 @@
 //! state in which all gateways could count what they send. Instead one gateway, the endpoint's
 //! limiter, chosen from the member list, issues a permit for each message (`limiter`). Without a
 //! permit no message of any kind is sent to the endpoint ([`crate::direct::gates`]). `permits`
-//! holds this gateway's pending permit requests, `retry_times` when it may request a permit again after a
-//! refusal.
+//! holds this gateway's pending permit requests, `retry_times` when it may request a permit again
+//! after a refusal.
 //!
 //! A limiter issues permits only for the share of the gateways that it hears from: with 10 possible
-//! gateways of which it hears 6, six tenths of the limit. So two limiters on both sides of a
+//! gateways of which it hears from 6, six tenths of the limit. So two limiters on both sides of a
 //! network partition stay within the limit together, and so do gateways of a build without support
 //! for permits. A gateway that becomes the limiter waits until its predecessor has certainly
 //! stopped.
--- a/src/direct/log_events/mod.rs
+++ b/src/direct/log_events/mod.rs
@@ -175,7 +175,7 @@
     Ended {
         /// Request id given by the caller.
         request: Name,
-        /// How it ended.
+        /// How it ended, such as `answered 200`, `refused: Draining` or `caller disconnected`.
         outcome: String,
         /// Endpoint of the last attempt; `None` without an attempt.
         endpoint: Option<Name>,
@@ -210,8 +210,8 @@
         subject: &'static str,
         /// Whether the read was a watch.
         watch: bool,
-        /// `whole`; `unreachable`, `silent`, `torn`, `outdated`, `refused`, `unreadable`,
-        /// `unusable`.
+        /// `whole`, or `unreachable`, `silent`, `torn`, `outdated`, `refused`, `unreadable`
+        /// or `unusable`.
         outcome: &'static str,
         /// Bytes received.
         bytes: usize,
@@ -272,7 +272,7 @@
     Endpoint {
         /// Id of the endpoint.
         endpoint: Name,
-        /// `listed`, `leaving`, `lapsed` (expired while the store was unavailable) or `gone`.
+        /// `listed`, `leaving`, `gone` (removed) or `lapsed` (expired, store unavailable).
         state: &'static str,
         /// `publisher`, a gateway's address, or the kind of call that announced a departure.
         source: String,
--- a/src/direct/poison/mod.rs
+++ b/src/direct/poison/mod.rs
@@ -6,9 +6,9 @@
 //! crashed 14 endpoints within 10 s.
 //!
 //! Such a request is recognised by its content, the [`fingerprint`]. An unanswered call is kept in
-//! [`unanswered`] until it is proven that its endpoint crashed. Then everything that was running there
-//! becomes suspect, and [`suspects`] keeps it until it is quarantined or has run without a crash
-//! elsewhere. What has recently run without a crash does not become suspect ([`successes`]).
+//! [`unanswered`] until it is proven that its endpoint crashed. Then everything that was running
+//! there becomes suspect, and [`suspects`] keeps it until it is quarantined or has run without a
+//! crash elsewhere. What has recently run without a crash does not become suspect ([`successes`]).
 //! Gateways share this knowledge by gossip.
 //!
 //! Alternatives considered: each gateway on its own (three endpoints per gateway: 1,700 with 580
