--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -50,7 +50,7 @@
         max_attempts: 2,
         stages: Vec::new(),
         public: true,
-        homes: Vec::new(),
+        allowed_regions: Vec::new(),
     };
     let work = Work::Engine(EngineSpec { slots: 64, memory_tokens: 100_000 });
     let endpoints = Selector::parse("service=engine").expect("a selector");
@@ -73,7 +73,7 @@
         labels: [("service".to_owned(), "engine".to_owned())].into_iter().collect(),
         slots: 64,
         leaving: false,
-        cold: Duration::ZERO,
+        cold_for: Duration::ZERO,
     }
 }
 
@@ -103,7 +103,7 @@
         seen: Seen { version: 1, endpoints: Position::new(0, 5) },
         complete: true,
         usage: Vec::new(),
-        late: Duration::ZERO,
+        event_lag: Duration::ZERO,
         evacuations: Evacuations::default(),
         departures: Vec::new(),
         limits,
--- a/src/direct/cold.rs
+++ b/src/direct/cold.rs
@@ -99,7 +99,7 @@
             self.started.get_or_insert(now);
         }
         for endpoint in changed {
-            self.reported(endpoint, endpoint.cold, now);
+            self.reported(endpoint, endpoint.cold_for, now);
         }
         self.endpoints.retain(|_, cold| now < cold.until);
     }
@@ -123,7 +123,7 @@
         cold_start: ColdStart,
         now: Timestamp,
     ) {
-        self.set_cold(endpoint, true, now + RETRY_INTERVAL + cold_start.lasts, now);
+        self.set_cold(endpoint, true, now + RETRY_INTERVAL + cold_start.duration, now);
     }
 
     /// Assumes the endpoints of data centres whose evacuation ended to be cold: they may have
@@ -140,7 +140,7 @@
             };
             let returned = table.pool_endpoints(&pool.name).iter();
             for endpoint in returned.filter(|e| data_centres.contains(&e.data_centre)) {
-                self.set_cold(endpoint, true, now + cold_start.lasts, now);
+                self.set_cold(endpoint, true, now + cold_start.duration, now);
             }
         }
     }
--- a/src/direct/owner/admission.rs
+++ b/src/direct/owner/admission.rs
@@ -78,7 +78,7 @@
         self.update_ledger(table, now);
         let loads = self.loads(job, table, now);
         // Each stage ends with an event, which this process handles with its event lag.
-        let after = job.after + self.event_lag * job.stages.len() as u32;
+        let after = job.after_stages + self.event_lag * job.stages.len() as u32;
         let mut decision = admit_path(&loads, after, job.to_objective, job.priority);
         decision.refusal = decision.refusal.filter(|_| !job.resubmitted);
         let narrowest = job.stages.get(decision.narrowest);
@@ -123,7 +123,7 @@
         let stages = job.stages.iter().zip(calls);
         stages
             .map(|(stage, call)| {
-                self.load(stage, &job.homes, call, taken[&stage.pool].clone(), table)
+                self.load(stage, &job.allowed_regions, call, taken[&stage.pool].clone(), table)
             })
             .collect()
     }
@@ -153,8 +153,8 @@
         };
         let endpoints = pool.endpoints.count_in_regions(allowed_regions) as f64;
         load.slots = endpoints * f64::from(spec.slots);
-        load.room =
-            (spec.room_bytes as f64).mul_add(endpoints, -(pool.endpoints.used_by_others() as f64));
+        load.room = (spec.result_memory_bytes as f64)
+            .mul_add(endpoints, -(pool.endpoints.used_by_others() as f64));
         load.backlog = backlog(pool.waiting, pool.running, spec);
         load
     }
@@ -170,7 +170,8 @@
         let data_centres = first.endpoints.data_centres();
         let data_centres =
             data_centres.filter(|h| others.iter().all(|pool| pool.endpoints.count_in(h) > 0));
-        let data_centres = data_centres.filter(|h| first.endpoints.is_allowed(h, &run.job.homes));
+        let data_centres =
+            data_centres.filter(|h| first.endpoints.is_allowed(h, &run.job.allowed_regions));
         // Unfinished pieces per endpoint, in thousandths.
         let load = |data_centre: &Name| {
             let loads = pools.iter().map(|pool| {
@@ -185,7 +186,7 @@
 
 /// Slot time that is ahead of a new job.
 fn backlog(waiting: usize, running: usize, spec: &BatchSpec) -> Duration {
-    let full_call = spec.call.div_f64(spec.pieces as f64) + spec.piece;
+    let full_call = spec.call_overhead.div_f64(spec.pieces as f64) + spec.piece_time;
     let pieces = (running as f64).mul_add(RUNNING_SHARE, waiting as f64);
     full_call.mul_f64(BACKLOG_SHARE).mul_f64(pieces)
 }
--- a/src/direct/owner/batching.rs
+++ b/src/direct/owner/batching.rs
@@ -123,7 +123,7 @@
         self.repeats.record_first_sends(pool, first_attempts, now);
         self.producers.sent(&endpoint.id, total);
         self.cold.record_sent(&endpoint, pieces.len(), now);
-        let expected = spec.call + spec.piece * call_params.len() as u32;
+        let expected = spec.call_overhead + spec.piece_time * call_params.len() as u32;
         let wait_limit = expected.mul_f64(OVERDUE_FACTOR) + OVERDUE_MARGIN;
         let queued = self.ledger.get(pool).map_or(0, |ledger| ledger.queue.pieces());
         self.out.push(Action::Log(LogEvent::BatchSent {
--- a/src/direct/owner/jobs.rs
+++ b/src/direct/owner/jobs.rs
@@ -256,7 +256,7 @@
 pub(super) fn expected_calls(job: &Job, table: &Table) -> Vec<Duration> {
     let call = |stage: &JobStage| {
         let spec = table.batch_spec(&stage.pool)?;
-        Some(spec.call + spec.piece * stage.pieces.min(spec.pieces) as u32)
+        Some(spec.call_overhead + spec.piece_time * stage.pieces.min(spec.pieces) as u32)
     };
     job.stages.iter().map(|stage| call(stage).unwrap_or_default()).collect()
 }
--- a/src/direct/owner/outcomes.rs
+++ b/src/direct/owner/outcomes.rs
@@ -122,7 +122,8 @@
             }
             match outcome {
                 PieceOutcome::NoRoom => {
-                    let capacity = table.batch_spec(&call.pool).map_or(0, |s| s.room_bytes);
+                    let capacity =
+                        table.batch_spec(&call.pool).map_or(0, |s| s.result_memory_bytes);
                     let free_bytes = self.producers.free_bytes(&call.endpoint.id, capacity, now);
                     self.producers.no_result_memory(&call.endpoint.id, free_bytes, now);
                     no_memory = true;
--- a/src/direct/owner/plan.rs
+++ b/src/direct/owner/plan.rs
@@ -75,7 +75,7 @@
         let bytes = stage.unfreed() as u64 * spec.result_bytes;
         let users = run.job.stages.iter().zip(runs);
         let users = users.filter(|(s, _)| s.after.contains(&index)).map(|(_, r)| r.start);
-        let handed_on = end + run.job.after.min(HANDED_ON);
+        let handed_on = end + run.job.after_stages.min(HANDED_ON);
         let until = users.max().map_or(handed_on, |start| start + FETCHING);
         (bytes > 0).then_some(Occupancy { from: runs[index].start, until, bytes })
     };
--- a/src/direct/owner/scheduler.rs
+++ b/src/direct/owner/scheduler.rs
@@ -233,7 +233,7 @@
             // outdated.
             return self.out.push(Action::Log(LogEvent::NoReport { endpoint: endpoint.clone() }));
         }
-        self.producers.reported(endpoint, spec.room_bytes, report.free_bytes, now);
+        self.producers.reported(endpoint, spec.result_memory_bytes, report.free_bytes, now);
         self.out.push(Action::Log(LogEvent::ReportReceived {
             endpoint: endpoint.clone(),
             free_bytes: report.free_bytes,
@@ -400,8 +400,8 @@
     pub(super) fn state_of(&self, id: &Name, spec: &BatchSpec, now: Timestamp) -> EndpointState {
         let producer = self.producers.get(id);
         EndpointState {
-            free_bytes: self.producers.free_bytes(id, spec.room_bytes, now),
-            used_by_others: self.producers.used_by_others(id, now).min(spec.room_bytes),
+            free_bytes: self.producers.free_bytes(id, spec.result_memory_bytes, now),
+            used_by_others: self.producers.used_by_others(id, now).min(spec.result_memory_bytes),
             is_free: producer.running < spec.slots && producer.blocked_until <= now,
             is_avoided: producer.avoided_until > now,
         }
--- a/src/direct/owner/timings.rs
+++ b/src/direct/owner/timings.rs
@@ -18,7 +18,7 @@
 impl PoolTimings {
     /// Defaults of a pool without measurements: calls are half full and nothing waits.
     fn defaults(spec: &BatchSpec) -> Self {
-        let call = spec.call + spec.piece * (spec.pieces as u32 / 2);
+        let call = spec.call_overhead + spec.piece_time * (spec.pieces as u32 / 2);
         Self { wait: 0.0, call: call.as_secs_f64() }
     }
 
--- a/src/direct/peer_messages.rs
+++ b/src/direct/peer_messages.rs
@@ -42,7 +42,7 @@
                 seen,
                 complete,
                 usage,
-                late,
+                event_lag,
                 evacuations,
                 departures,
                 limits,
@@ -55,7 +55,7 @@
                 self.departures_received(from, departures, now);
                 self.limits_received(from, &limits, now);
                 self.owners.usage_announced(from, usage, &self.table);
-                self.requests.event_lag_announced(from, late, now);
+                self.requests.event_lag_announced(from, event_lag, now);
                 let changes = self.members.merge(&members, now);
                 for member in changes.replaced {
                     self.peer_down(member.address, member.incarnation, "restarted", now);
@@ -212,7 +212,7 @@
             seen: self.documents.seen(),
             complete: self.documents.is_complete(),
             usage: self.owners.usage(),
-            late: self.event_lag.estimate(now),
+            event_lag: self.event_lag.estimate(now),
             evacuations: self.evacuations.clone(),
             departures,
             limits,
--- a/src/direct/peers/message.rs
+++ b/src/direct/peers/message.rs
@@ -70,14 +70,16 @@
     /// Time left until the caller stops waiting.
     pub to_deadline: Duration,
     /// Expected time from the end of the stages to the start of the response.
-    pub after: Duration,
+    #[serde(rename = "after")]
+    pub after_stages: Duration,
     /// Priority; 0 is the most urgent.
     pub priority: u8,
     /// Data centre that is expected to fetch the last results.
     pub data_centre: Name,
     /// Regions in which the stages may run.
     #[serde(default)]
-    pub homes: AllowedRegions,
+    #[serde(rename = "homes")]
+    pub allowed_regions: AllowedRegions,
     /// Whether another owner had started the job.
     pub resubmitted: bool,
     /// Fingerprint of the request's content and its caller.
@@ -138,7 +140,8 @@
         usage: Vec<Usage>,
         /// The sender's event lag.
         #[serde(default)]
-        late: Duration,
+        #[serde(rename = "late")]
+        event_lag: Duration,
         /// Evacuation orders that the sender knows.
         #[serde(default)]
         evacuations: Evacuations,
--- a/src/direct/peers/pulls.rs
+++ b/src/direct/peers/pulls.rs
@@ -167,7 +167,7 @@
         peer: SocketAddr,
         seen: Seen,
         complete: bool,
-        own: Own,
+        own: OwnState,
         now: Timestamp,
     ) {
         if seen.version > own.seen.version {
@@ -248,7 +248,13 @@
     }
 
     /// Returns the actions that are due; `own` is the state of this gateway.
-    pub fn due(&mut self, own: Own, members: &Members, rng: &mut impl Rng, now: Timestamp) -> Due {
+    pub fn due(
+        &mut self,
+        own: OwnState,
+        members: &Members,
+        rng: &mut impl Rng,
+        now: Timestamp,
+    ) -> Due {
         let mut due = Due::default();
         self.backing_off.retain(|_, until| now < *until);
         for pull in self.in_flight.extract_if(.., |p| now >= p.times_out_at()) {
@@ -273,13 +279,13 @@
     }
 
     /// Earliest time at which [`Self::due`] may return an action, as far as is known now.
-    pub fn next_wakeup(&self, own: Own) -> Option<Timestamp> {
+    pub fn next_wakeup(&self, own: OwnState) -> Option<Timestamp> {
         let over = self.in_flight.iter().map(InFlight::times_out_at).min();
         [over, self.configuration_due(own), self.list_due(own)].into_iter().flatten().min()
     }
 
     /// Time at which a configuration is to be requested, possibly while another pull is running.
-    fn configuration_due(&self, own: Own) -> Option<Timestamp> {
+    fn configuration_due(&self, own: OwnState) -> Option<Timestamp> {
         if self.in_flight.len() >= MAX_IN_FLIGHT {
             return None;
         }
@@ -294,7 +300,7 @@
     }
 
     /// Time until which no peer is asked, since the own read may deliver the configuration.
-    fn own_read_grace_end(&self, own: Own) -> Timestamp {
+    fn own_read_grace_end(&self, own: OwnState) -> Timestamp {
         let since = self
             .first_announced
             .values()
@@ -329,7 +335,7 @@
         best.choose(rng).copied()
     }
 
-    fn list_due(&self, own: Own) -> Option<Timestamp> {
+    fn list_due(&self, own: OwnState) -> Option<Timestamp> {
         let ahead = self.list?;
         let wait_limit = match own.complete {
             false => Duration::ZERO,
@@ -343,7 +349,7 @@
 
 /// The state of this gateway.
 #[derive(Debug, Clone, Copy)]
-pub struct Own {
+pub struct OwnState {
     /// Latest configuration and entries that the gateway has received.
     pub seen: Seen,
     /// Whether the gateway has a configuration and a complete list.
--- a/src/direct/peers/without_eras.rs
+++ b/src/direct/peers/without_eras.rs
@@ -102,7 +102,7 @@
     seen: Seen,
     complete: bool,
     usage: Vec<Usage>,
-    late: Duration,
+    event_lag: Duration,
     evacuations: Evacuations,
 }
 
@@ -115,7 +115,7 @@
         seen: first.seen.into(),
         complete: first.complete,
         usage: first.usage,
-        late: first.late,
+        event_lag: first.event_lag,
         evacuations: first.evacuations.into(),
         departures,
         limits,
--- a/src/direct/publication.rs
+++ b/src/direct/publication.rs
@@ -11,7 +11,7 @@
 use crate::direct::event::Action;
 use crate::direct::log_events::{LogEvent, ms};
 use crate::direct::peers::message::PeerMessage;
-use crate::direct::peers::pulls::Own;
+use crate::direct::peers::pulls::OwnState;
 use crate::direct::published::documents::{Document, Merged, Revised, Seen};
 use crate::direct::published::evacuations::{EvacuationChange, Evacuations};
 use crate::direct::published::model::{Deployment, Endpoint, Name};
@@ -154,8 +154,8 @@
     }
 
     /// State of this gateway's documents, from which pulls are derived.
-    pub(super) fn pull_state(&self) -> Own {
-        Own {
+    pub(super) fn pull_state(&self) -> OwnState {
+        OwnState {
             seen: self.documents.seen(),
             complete: self.documents.is_complete(),
             is_starting: self.complete_since.is_none(),
@@ -217,7 +217,7 @@
         for life in &merged.departed {
             self.on_departure(life.clone(), source, now);
         }
-        if let Some(before) = merged.deployment {
+        if let Some(before) = merged.previous_version {
             self.log_configured(before, source, now);
             self.out.push(Action::SetCallerLimits(self.documents.deployment().limits.clone()));
         }
@@ -229,7 +229,7 @@
         if merged.is_empty() {
             return;
         }
-        if merged.deployment.is_some() {
+        if merged.previous_version.is_some() {
             let deployment = self.documents.deployment().clone();
             self.table = self.table.with_deployment(deployment, self.documents.endpoints());
         } else {
@@ -246,8 +246,8 @@
         let entered = merged.endpoints.iter().filter(|id| self.documents.is_listed(id));
         let entered = entered.filter_map(|id| self.documents.endpoint(id));
         let entered: Vec<Arc<Endpoint>> = entered.cloned().collect();
-        for endpoint in entered.iter().filter(|e| !e.cold.is_zero()) {
-            let cold_ms = ms(endpoint.cold);
+        for endpoint in entered.iter().filter(|e| !e.cold_for.is_zero()) {
+            let cold_ms = ms(endpoint.cold_for);
             self.log(LogEvent::Cold { endpoint: endpoint.id.clone(), cold_ms });
         }
         self.requests.table_changed(&self.table, merged, &entered, now);
--- a/src/direct/published/documents.rs
+++ b/src/direct/published/documents.rs
@@ -126,7 +126,7 @@
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Merged {
     /// The previous version, if a newer configuration is in force.
-    pub deployment: Option<u64>,
+    pub previous_version: Option<u64>,
     /// Ids of endpoints that were added, changed or removed.
     pub endpoints: Vec<Name>,
     /// Ids of those endpoints that restarted: same id, another incarnation.
@@ -143,7 +143,7 @@
 impl Merged {
     /// Whether nothing changed.
     pub fn is_empty(&self) -> bool {
-        self.deployment.is_none() && self.endpoints.is_empty()
+        self.previous_version.is_none() && self.endpoints.is_empty()
     }
 }
 
@@ -265,7 +265,8 @@
         for Revised { position, created_revision, document } in documents {
             match document {
                 Document::Deployment(deployment) => {
-                    merged.deployment = self.install(position, deployment).or(merged.deployment);
+                    merged.previous_version =
+                        self.install(position, deployment).or(merged.previous_version);
                 }
                 Document::Endpoint(endpoint) => {
                     self.list(position, created_revision, endpoint, now, &mut merged);
--- a/src/direct/published/model.rs
+++ b/src/direct/published/model.rs
@@ -71,7 +71,8 @@
     pub public: bool,
     /// Regions in which the requests may run; empty for all regions.
     #[serde(default)]
-    pub homes: Vec<Name>,
+    #[serde(rename = "homes")]
+    pub allowed_regions: Vec<Name>,
 }
 
 /// One of the pools of a route.
@@ -116,7 +117,8 @@
     /// Requests per second, summed over all gateways.
     pub per_second: f64,
     /// Time from the endpoint's start until it is warm.
-    pub lasts: Duration,
+    #[serde(rename = "lasts")]
+    pub duration: Duration,
 }
 
 /// The kind of work that the endpoints of a pool run.
@@ -147,13 +149,17 @@
     /// Maximum number of pieces in a call.
     pub pieces: usize,
     /// Fixed time of a call, in addition to its pieces.
-    pub call: Duration,
+    #[serde(rename = "call")]
+    pub call_overhead: Duration,
     /// Expected time for one piece.
-    pub piece: Duration,
+    #[serde(rename = "piece")]
+    pub piece_time: Duration,
     /// Memory for results, in bytes.
-    pub room_bytes: u64,
+    #[serde(rename = "room_bytes")]
+    pub result_memory_bytes: u64,
     /// Time after its call for which a result that is not released is kept.
-    pub kept: Duration,
+    #[serde(rename = "kept")]
+    pub result_retention: Duration,
 }
 
 /// An organisation whose callers are accepted, and its keys.
@@ -167,7 +173,8 @@
     pub priority: Option<u8>,
     /// Regions in which the organisation's requests may run; empty for all regions.
     #[serde(default)]
-    pub homes: Vec<Name>,
+    #[serde(rename = "homes")]
+    pub allowed_regions: Vec<Name>,
 }
 
 /// Limits on what a caller may send.
@@ -216,12 +223,13 @@
     pub leaving: bool,
     /// Remaining time until the endpoint is warm, as of its report; zero if it was warm.
     #[serde(default)]
-    pub cold: Duration,
+    #[serde(rename = "cold")]
+    pub cold_for: Duration,
 }
 
 /// An error in a configuration.
 #[derive(Debug, Snafu, PartialEq, Eq)]
-pub enum Problem {
+pub enum ConfigurationError {
     /// A route or stage names a pool that does not exist.
     #[snafu(display("{place}: there is no pool {pool:?}"))]
     UnknownPool {
@@ -250,27 +258,27 @@
 
 impl Deployment {
     /// Returns all errors in the configuration.
-    pub fn check(&self) -> Vec<Problem> {
-        let mut problems = Vec::new();
+    pub fn check(&self) -> Vec<ConfigurationError> {
+        let mut errors = Vec::new();
         for route in &self.routes {
             if route.targets.iter().all(|t| t.weight == 0) {
-                problems.push(Problem::NoTarget { route: route.name.clone() });
+                errors.push(ConfigurationError::NoTarget { route: route.name.clone() });
             }
             let targets = route.targets.iter().map(|t| &t.pool);
             for pool in targets.chain(route.stages.iter().map(|s| &s.pool)) {
                 if !self.pools.iter().any(|p| p.name == *pool) {
                     let place = format!("route {}", route.name);
-                    problems.push(Problem::UnknownPool { place, pool: pool.clone() });
+                    errors.push(ConfigurationError::UnknownPool { place, pool: pool.clone() });
                 }
             }
             for (i, stage) in route.stages.iter().enumerate() {
                 for &needs in stage.after.iter().filter(|&&a| a >= i) {
                     let route = route.name.clone();
-                    problems.push(Problem::StageOrder { route, stage: i, needs });
+                    errors.push(ConfigurationError::StageOrder { route, stage: i, needs });
                 }
             }
         }
-        problems
+        errors
     }
 
     /// Returns the pool with this name.
--- a/src/direct/requests/changes.rs
+++ b/src/direct/requests/changes.rs
@@ -27,7 +27,7 @@
         self.observations.retain(|id| table.endpoint(id).is_some());
         self.ramps.retain(|id| table.endpoint(id).is_some());
         self.turns.retain(|id| table.endpoint(id).is_some());
-        if merged.deployment.is_some() {
+        if merged.previous_version.is_some() {
             self.durations.retain(table.deployment.routes.iter().map(|r| &r.name));
             self.fetch_times.retain(|pool| table.pool(pool).is_some());
         }
--- a/src/direct/requests/mod.rs
+++ b/src/direct/requests/mod.rs
@@ -274,12 +274,12 @@
         let allowed = incoming.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
         let stages = route.stages.len();
         let priority = organisation.and_then(|o| o.priority).unwrap_or(route.priority);
-        let homes = organisation.map_or(&[][..], |o| &o.homes);
+        let homes = organisation.map_or(&[][..], |o| &o.allowed_regions);
         Request {
             pool: select_pool(route, &incoming.id),
             fingerprint: incoming.content.for_organisation(organisation.map(|o| &*o.name)),
             organisation: organisation.map(|o| o.name.clone()),
-            allowed_regions: AllowedRegions::of(&route.homes, homes),
+            allowed_regions: AllowedRegions::of(&route.allowed_regions, homes),
             priority,
             arrived,
             deadline: arrived + allowed,
--- a/src/direct/requests/stages.rs
+++ b/src/direct/requests/stages.rs
@@ -261,8 +261,10 @@
     for (stage, spec) in request.route.stages.iter().enumerate() {
         let begins = spec.after.iter().filter_map(|&after| ends.get(after)).max().copied();
         let has_pieces = request.incoming.pieces.get(stage).is_some_and(|&pieces| pieces > 0);
-        let call =
-            table.batch_spec(&spec.pool).filter(|_| has_pieces).map_or(Duration::ZERO, |b| b.call);
+        let call = table
+            .batch_spec(&spec.pool)
+            .filter(|_| has_pieces)
+            .map_or(Duration::ZERO, |b| b.call_overhead);
         ends.push(begins.unwrap_or_default() + call);
     }
     ends.into_iter().max().unwrap_or_default()
@@ -287,10 +289,10 @@
         key: request.incoming.piece_key.clone(),
         to_objective: objective.saturating_sub(now),
         to_deadline: request.deadline.saturating_sub(now),
-        after: request.expected_start(),
+        after_stages: request.expected_start(),
         priority: request.priority,
         data_centre,
-        homes: request.allowed_regions.clone(),
+        allowed_regions: request.allowed_regions.clone(),
         resubmitted,
         fingerprint: request.fingerprint,
     }
--- a/testbed/src/frames.rs
+++ b/testbed/src/frames.rs
@@ -125,7 +125,7 @@
         labels: [("service".to_owned(), "llm".to_owned())].into_iter().collect(),
         slots: 64,
         leaving: true,
-        cold: Duration::from_millis(1_500),
+        cold_for: Duration::from_millis(1_500),
     }
 }
 
@@ -144,7 +144,7 @@
         max_attempts: 2,
         stages: vec![StageSpec { pool: name("maker"), after: vec![0], result_bytes: 96_000 }],
         public: true,
-        homes: vec![name("region-1")],
+        allowed_regions: vec![name("region-1")],
     }
 }
 
@@ -153,7 +153,7 @@
         name: name(label),
         endpoints: Selector::parse(&format!("service={label}")).unwrap_or_default(),
         max_connections: 280,
-        cold: Some(ColdStart { per_second: 10.0, lasts: Duration::from_secs(3) }),
+        cold: Some(ColdStart { per_second: 10.0, duration: Duration::from_secs(3) }),
         work,
     }
 }
@@ -162,10 +162,10 @@
     let batch = BatchSpec {
         slots: 1,
         pieces: 14,
-        call: Duration::from_millis(240),
-        piece: Duration::from_millis(15),
-        room_bytes: 1_500_000,
-        kept: Duration::from_secs(4),
+        call_overhead: Duration::from_millis(240),
+        piece_time: Duration::from_millis(15),
+        result_memory_bytes: 1_500_000,
+        result_retention: Duration::from_secs(4),
     };
     let engine = EngineSpec { slots: 64, memory_tokens: 509_358 };
     Deployment {
@@ -180,7 +180,7 @@
             name: name("organisation-1"),
             keys: vec![name("key-1")],
             priority: Some(1),
-            homes: vec![name("region-1")],
+            allowed_regions: vec![name("region-1")],
         }],
         limits: CallerLimits::default(),
     }
@@ -210,7 +210,7 @@
         seen: Seen { version: 12, endpoints: position(345) },
         complete: true,
         usage: vec![usage],
-        late: Duration::from_millis(20),
+        event_lag: Duration::from_millis(20),
         evacuations: Evacuations::from_read(&[order], position(40)),
         departures: vec![Departure::of(&endpoint())],
         limits: vec![limit()],
@@ -244,10 +244,10 @@
         key: Some(name("7c1e07a291bd")),
         to_objective: Duration::from_millis(2_400),
         to_deadline: Duration::from_millis(19_000),
-        after: Duration::from_millis(280),
+        after_stages: Duration::from_millis(280),
         priority: 2,
         data_centre: name("hall-1"),
-        homes: AllowedRegions::of(&[name("region-1")], &[]),
+        allowed_regions: AllowedRegions::of(&[name("region-1")], &[]),
         resubmitted: true,
         fingerprint: Fingerprint::of_content("POST", "/a/b", b"body"),
     }))
--- a/testbed/src/owner_load.rs
+++ b/testbed/src/owner_load.rs
@@ -113,15 +113,29 @@
 }
 
 fn pools() -> Vec<Pool> {
-    let pool =
-        |&(name, _, pieces, piece_ms, _, room_bytes, _): &(&str, _, usize, f64, _, u64, _)| {
-            let piece = Duration::from_secs_f64(piece_ms / 1e3);
-            let kept = Duration::from_secs(4);
-            let spec = BatchSpec { slots: 1, pieces, call: CALL, piece, room_bytes, kept };
-            let endpoints = Selector::parse(&format!("service={name}")).unwrap_or_default();
-            let (max_connections, cold, work) = (340, None, Work::Batch(spec));
-            Pool { name: name.into(), endpoints, max_connections, cold, work }
+    let pool = |&(name, _, pieces, piece_ms, _, result_memory_bytes, _): &(
+        &str,
+        _,
+        usize,
+        f64,
+        _,
+        u64,
+        _,
+    )| {
+        let piece_time = Duration::from_secs_f64(piece_ms / 1e3);
+        let result_retention = Duration::from_secs(4);
+        let spec = BatchSpec {
+            slots: 1,
+            pieces,
+            call_overhead: CALL,
+            piece_time,
+            result_memory_bytes,
+            result_retention,
         };
+        let endpoints = Selector::parse(&format!("service={name}")).unwrap_or_default();
+        let (max_connections, cold, work) = (340, None, Work::Batch(spec));
+        Pool { name: name.into(), endpoints, max_connections, cold, work }
+    };
     STAGES.iter().map(pool).collect()
 }
 
@@ -137,7 +151,7 @@
                 labels: [("service".to_owned(), name.to_owned())].into_iter().collect(),
                 slots: 1,
                 leaving: false,
-                cold: Duration::ZERO,
+                cold_for: Duration::ZERO,
             })
         })
     };
@@ -255,10 +269,10 @@
             key: Some("key".into()),
             to_objective: Duration::from_millis(2_200),
             to_deadline: Duration::from_secs(12),
-            after: Duration::from_millis(100),
+            after_stages: Duration::from_millis(100),
             priority: 0,
             data_centre,
-            homes: AllowedRegions::default(),
+            allowed_regions: AllowedRegions::default(),
             resubmitted: false,
             fingerprint: Fingerprint::of_content("POST", &number.to_string(), b""),
         }
--- a/tests/direct_cold.rs
+++ b/tests/direct_cold.rs
@@ -22,15 +22,15 @@
 use stackmast::direct::published::table::Table;
 use test_case::test_case;
 
-const BEARS: ColdStart = ColdStart { per_second: 10.0, lasts: Duration::from_secs(3) };
+const BEARS: ColdStart = ColdStart { per_second: 10.0, duration: Duration::from_secs(3) };
 
 fn table() -> Table {
     Table::new(Arc::new(deployment(1, Vec::new())), [].into_iter())
 }
 
 fn cold(number: u16, cold_ms: u64) -> Arc<Endpoint> {
-    let (cold, incarnation) = (ms(cold_ms), 1 + cold_ms);
-    Arc::new(Endpoint { cold, incarnation, ..(*endpoint("engine", number)).clone() })
+    let (cold_for, incarnation) = (ms(cold_ms), 1 + cold_ms);
+    Arc::new(Endpoint { cold_for, incarnation, ..(*endpoint("engine", number)).clone() })
 }
 
 /// When gateways that press without pause, and learn of a cold endpoint within `spread_ms`, send to it.
--- a/tests/direct_homes.rs
+++ b/tests/direct_homes.rs
@@ -33,10 +33,10 @@
     let stages: &[(&str, &[usize], u64)] =
         if stages { &[("first", &[], 400_000), ("second", &[0], 400_000)] } else { &[] };
     let mut route = route("r", Repeat::AtMostOnce, stages);
-    route.homes = names(route_homes);
+    route.allowed_regions = names(route_homes);
     let mut deployment = deployment(1, vec![route]);
     for organisation in &mut deployment.organisations {
-        organisation.homes = names(organisation_homes);
+        organisation.allowed_regions = names(organisation_homes);
     }
     let mut core = new_core();
     let document = Document::Deployment(Arc::new(deployment));
--- a/tests/direct_late.rs
+++ b/tests/direct_late.rs
@@ -95,12 +95,12 @@
 }
 
 /// When the stages are submitted to a second owner, after so many milliseconds.
-fn resubmitted_after(core: &mut GatewayCore, late: Duration) -> Option<u64> {
+fn resubmitted_after(core: &mut GatewayCore, event_lag: Duration) -> Option<u64> {
     let strong = stackmast::direct::peers::members::Member { capacity: 9_000, ..serving(5) };
     let beat = |heartbeat: u64| {
         let members =
             vec![stackmast::direct::peers::members::Member { heartbeat, ..strong.clone() }];
-        let message = Says { members, complete: true, late, ..Says::default() }.message();
+        let message = Says { members, complete: true, event_lag, ..Says::default() }.message();
         Event::PeerMessage { from: address(5), message }
     };
     core.handle(beat(2), ms(1_100));
--- a/tests/direct_pauses.rs
+++ b/tests/direct_pauses.rs
@@ -145,7 +145,7 @@
 
 #[test]
 fn an_endpoint_that_tells_that_it_is_cold_gets_its_part_of_pieces_and_requests_alike() {
-    const BEARS: ColdStart = ColdStart { per_second: 10.0, lasts: Duration::from_secs(3) };
+    const BEARS: ColdStart = ColdStart { per_second: 10.0, duration: Duration::from_secs(3) };
     let mut deployment = deployment(9, routes());
     deployment.pools.iter_mut().for_each(|pool| pool.cold = Some(BEARS));
     let mut core = configured(routes());
--- a/tests/directenv/gateway.rs
+++ b/tests/directenv/gateway.rs
@@ -134,7 +134,7 @@
     pub members: Vec<Member>,
     pub seen: Seen,
     pub complete: bool,
-    pub late: Duration,
+    pub event_lag: Duration,
     pub evacuations: Evacuations,
     pub departures: Vec<Departure>,
     pub limits: Vec<AnnouncedLimit>,
@@ -143,14 +143,15 @@
 
 impl Says {
     pub fn message(self) -> PeerMessage {
-        let Self { members, seen, complete, late, evacuations, departures, limits, era } = self;
+        let Self { members, seen, complete, event_lag, evacuations, departures, limits, era } =
+            self;
         let usage = Vec::new();
         PeerMessage::Gossip {
             members,
             seen,
             complete,
             usage,
-            late,
+            event_lag,
             evacuations,
             departures,
             limits,
--- a/tests/directenv/mod.rs
+++ b/tests/directenv/mod.rs
@@ -51,9 +51,16 @@
     Pool { name: name.into(), endpoints, max_connections: 100, cold: None, work }
 }
 
-pub fn batch(pieces: usize, room_bytes: u64) -> Work {
-    let kept = Duration::from_secs(4);
-    Work::Batch(BatchSpec { slots: 1, pieces, call: CALL, piece: PIECE, room_bytes, kept })
+pub fn batch(pieces: usize, result_memory_bytes: u64) -> Work {
+    let result_retention = Duration::from_secs(4);
+    Work::Batch(BatchSpec {
+        slots: 1,
+        pieces,
+        call_overhead: CALL,
+        piece_time: PIECE,
+        result_memory_bytes,
+        result_retention,
+    })
 }
 
 pub fn endpoint(service: &str, number: u16) -> Arc<Endpoint> {
@@ -61,7 +68,7 @@
     let labels = [("service".to_owned(), service.to_owned())].into_iter().collect();
     let data_centre = format!("hall-{}", number % 2).into();
     let address = address(9_000 + number);
-    let (incarnation, cold) = (0, Duration::ZERO);
+    let (incarnation, cold_for) = (0, Duration::ZERO);
     Arc::new(Endpoint {
         id,
         incarnation,
@@ -70,7 +77,7 @@
         labels,
         slots: 4,
         leaving: false,
-        cold,
+        cold_for,
     })
 }
 
@@ -97,7 +104,7 @@
             })
             .collect(),
         public: false,
-        homes: Vec::new(),
+        allowed_regions: Vec::new(),
     }
 }
 
@@ -116,7 +123,7 @@
             name: "org".into(),
             keys: vec!["key".into()],
             priority: None,
-            homes: Vec::new(),
+            allowed_regions: Vec::new(),
         }],
         limits: CallerLimits::default(),
     }
@@ -154,10 +161,10 @@
         key: Some("k".into()),
         to_objective: Duration::from_secs(2),
         to_deadline: Duration::from_secs(10),
-        after: ms(100),
+        after_stages: ms(100),
         priority: 0,
         data_centre: "hall-1".into(),
-        homes: AllowedRegions::default(),
+        allowed_regions: AllowedRegions::default(),
         resubmitted: false,
         fingerprint: Fingerprint::of_content("POST", &number.to_string(), b""),
     }
--- a/tests/directenv/orders.rs
+++ b/tests/directenv/orders.rs
@@ -81,7 +81,7 @@
 fn cold_deployment() -> Deployment {
     let mut deployment = deployment(1, vec![route("r", Repeat::Idempotent, &[])]);
     for pool in deployment.pools.iter_mut().filter(|p| &*p.name == "engine") {
-        pool.cold = Some(ColdStart { per_second: BEARS, lasts: COLD });
+        pool.cold = Some(ColdStart { per_second: BEARS, duration: COLD });
         pool.max_connections = 10_000;
     }
     deployment
@@ -243,7 +243,7 @@
         }
         self.cold_until.insert(before.id.clone(), self.time.now + COLD);
         let incarnation = self.time.now.as_millis() as u64;
-        let endpoint = Arc::new(Endpoint { incarnation, cold: COLD, ..before });
+        let endpoint = Arc::new(Endpoint { incarnation, cold_for: COLD, ..before });
         self.enter(endpoint.clone());
         let entry = self.entered[&endpoint.id].clone();
         self.spread(vec![entry]);
--- a/tests/directenv/recount.rs
+++ b/tests/directenv/recount.rs
@@ -67,7 +67,7 @@
     pub fn submits(&mut self, owner: &mut Scheduler, job: &Job, table: &Table, now: Duration) {
         let loads: Vec<StageLoad> =
             (0..job.stages.len()).map(|stage| load(owner, job, stage, table, now)).collect();
-        let decision = admit_path(&loads, job.after, job.to_objective, job.priority);
+        let decision = admit_path(&loads, job.after_stages, job.to_objective, job.priority);
         self.decided = Some(decision.refusal.is_none());
     }
 
@@ -187,7 +187,7 @@
             if *spec.pool != *pool || !run.is_runnable(stage) || is_held_back(run, stage, now) {
                 continue;
             }
-            let rest = run.critical_path_from(stage) + run.job.after;
+            let rest = run.critical_path_from(stage) + run.job.after_stages;
             let slack_ms = ms(run.objective) as i64 - ms(rest) as i64 - ms(now) as i64;
             let home = run.preferred_data_centre(stage).filter(|_| run.moved_bytes(stage) >= HEAVY);
             let pieces = run.stages[stage].pieces.iter().enumerate();
@@ -265,7 +265,7 @@
     let spec = table.batch_spec(&stage.pool).expect("it works in batches");
     let kept = owner.pool_state(&stage.pool, table, now).expect("endpoints are listed");
     let endpoints = kept.usable.values().sum::<usize>() as f64;
-    let call = spec.call + spec.piece * stage.pieces.min(spec.pieces) as u32;
+    let call = spec.call_overhead + spec.piece_time * stage.pieces.min(spec.pieces) as u32;
     let mut pieces = 0.0;
     let mut taken = Timeline::default();
     for (_, run) in owner.active_jobs() {
@@ -281,14 +281,14 @@
             }
         }
     }
-    let full_call = spec.call.div_f64(spec.pieces as f64) + spec.piece;
+    let full_call = spec.call_overhead.div_f64(spec.pieces as f64) + spec.piece_time;
     StageLoad {
         after: stage.after.clone(),
         is_done: false,
         slots: endpoints,
         backlog: full_call.mul_f64(BEFORE_NEWCOMER).mul_f64(pieces),
         call,
-        room: endpoints * spec.room_bytes as f64 - kept.used_by_others as f64,
+        room: endpoints * spec.result_memory_bytes as f64 - kept.used_by_others as f64,
         taken: Arc::new(taken),
         wanted: (stage.pieces as u64 * stage.result_bytes) as f64,
     }
