--- a/src/direct/requests/attempts.rs
+++ b/src/direct/requests/attempts.rs
@@ -23,7 +23,7 @@
 /// Failure of an attempt that may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Failure {
-    /// The response proves nothing.
+    /// The response does not name the request, or reports success without a signature.
     InvalidResponse,
     /// The endpoint returned a server error.
     ServerError,
@@ -59,6 +59,7 @@
 }
 
 impl Requests {
+    /// Starts a call to an endpoint and the timer for its response, if the request may be repeated.
     pub(super) fn start_attempt(
         &mut self,
         caller: u64,
@@ -114,6 +115,7 @@
         self.out.push(Action::Call { caller, attempt: number, params });
     }
 
+    /// Whether this is the open attempt of the request.
     pub(super) fn is_current_attempt(&self, caller: u64, attempt: u64) -> bool {
         let open = self.requests.get(&caller).and_then(|r| r.attempt.as_ref());
         open.is_some_and(|a| a.number == attempt)
@@ -187,8 +189,8 @@
 
     /// A call that needs results is sent. An endpoint with a free slot fetches them right away.
     /// They are freed once it has them rather than with its first event, which arrives 100 to 300
-    /// ms after the call: this raised the benchmark score by 0.010 of 0.690 in fifteen pairs of simulated
-    /// days with bursts and losses, and refusals of returning callers fell by a fifth.
+    /// ms after the call: this raised the benchmark score by 0.010 of 0.690 in fifteen pairs of
+    /// test days with bursts and losses, and refusals of returning callers fell by a fifth.
     ///
     /// The time counts from here, not from the order of the call, because a connection may be
     /// established late on a saturated link. Counted from the order, the results of 292 of 5,900
@@ -228,7 +230,8 @@
         self.release(caller);
     }
 
-    /// Logs that an endpoint did not find the results that a request needs.
+    /// An endpoint did not find the results that a request needs. Logs it, and discards the
+    /// estimate of the fetch time if this gateway had them freed.
     fn results_gone(&mut self, caller: u64, attempt: &Attempt, now: Timestamp) {
         let Some(request) = self.requests.get(&caller).filter(|r| r.has_stages()) else {
             return;
@@ -246,6 +249,7 @@
         }));
     }
 
+    /// Whether the request may be sent again after a call that may have run.
     pub(super) fn may_retry(&self, caller: u64, now: Timestamp) -> bool {
         self.requests.get(&caller).is_some_and(|r| {
             r.may_repeat()
@@ -423,6 +427,7 @@
         }
     }
 
+    /// No response arrived in time: the call counts as failed, unless it is already being streamed.
     pub(super) fn response_timed_out(
         &mut self,
         caller: u64,
@@ -436,6 +441,7 @@
         }
     }
 
+    /// Avoids an unreachable endpoint for a while.
     pub(super) fn avoid(&mut self, endpoint: &Endpoint, cause: &'static str, now: Timestamp) {
         if self.observations.unreachable(endpoint, now) {
             self.log_avoided(&endpoint.id, cause);
--- a/src/direct/requests/changes.rs
+++ b/src/direct/requests/changes.rs
@@ -15,7 +15,8 @@
 use crate::message::Timestamp;
 
 impl Requests {
-    /// The configuration or entries of endpoints changed; `entered` holds the new entries.
+    /// The configuration or entries of endpoints changed; `entered` holds the entries that were
+    /// added or changed.
     pub fn table_changed(
         &mut self,
         table: &Table,
@@ -26,7 +27,7 @@
         self.cold.apply_changes(table, entered, now);
         self.observations.retain(|id| table.endpoint(id).is_some());
         self.ramps.retain(|id| table.endpoint(id).is_some());
-        self.turns.retain(|id| table.endpoint(id).is_some());
+        self.retry_times.retain(|id| table.endpoint(id).is_some());
         if merged.previous_version.is_some() {
             self.durations.retain(table.deployment.routes.iter().map(|r| &r.name));
             self.fetch_times.retain(|pool| table.pool(pool).is_some());
@@ -88,6 +89,8 @@
         ends?.into_iter().min()
     }
 
+    /// Refuses the requests in their stages whose deadline passes before the pause of their pool
+    /// ends.
     fn refuse_paused_past_deadline(&mut self, pool: &str, until: Timestamp, now: Timestamp) {
         let is_unservable = |request: &Request| {
             let is_in_stages = matches!(request.phase, Phase::Stages { .. });
@@ -105,13 +108,13 @@
         if restarted.is_empty() {
             return;
         }
-        let is_restarted = |request: &Request| {
+        let is_affected = |request: &Request| {
             let endpoint = request.attempt.as_ref().map(|attempt| &attempt.endpoint);
-            let now_there = endpoint.and_then(|e| Some((e, table.endpoint(&e.id)?)));
+            let listed = endpoint.and_then(|e| Some((e, table.endpoint(&e.id)?)));
             request.phase == Phase::Running
-                && now_there.is_some_and(|(then, now)| then.incarnation != now.incarnation)
+                && listed.is_some_and(|(called, listed)| called.incarnation != listed.incarnation)
         };
-        for caller in self.callers_where(is_restarted) {
+        for caller in self.callers_where(is_affected) {
             self.attempt_may_have_run(caller, Failure::EndpointRestarted, table, now);
         }
     }
--- a/src/direct/requests/choice.rs
+++ b/src/direct/requests/choice.rs
@@ -15,6 +15,7 @@
 #[derive(Debug)]
 pub(super) struct Choice {
     pub(super) endpoint: Arc<Endpoint>,
+    /// Why the endpoint was selected, as written to log events.
     pub(super) reason: &'static str,
     /// Number of endpoints that were available for the selection.
     pub(super) candidates: usize,
@@ -82,15 +83,15 @@
         table: &Table,
         now: Timestamp,
     ) -> Result<Choice, Unplaced> {
-        let members = table.pool_endpoints(&request.pool);
+        let endpoints = table.pool_endpoints(&request.pool);
         let is_candidate = |e: &&Arc<Endpoint>| !e.leaving && !request.tried.contains(&e.id);
-        let accepting: Vec<&Arc<Endpoint>> = members.iter().filter(is_candidate).collect();
+        let accepting: Vec<&Arc<Endpoint>> = endpoints.iter().filter(is_candidate).collect();
         let allowed = accepting.iter().copied().filter(|e| request.allowed_regions.allows(e));
         let cold_start = table.pool(&request.pool).and_then(|pool| pool.cold);
         let is_any_allowed = allowed.clone().next().is_some();
         let unavailability = |e: &Endpoint| self.unavailability(e, request, cold_start, now);
         let available: Vec<_> = allowed.clone().filter(|e| unavailability(e).is_none()).collect();
-        let median = self.observations.median_response_time(members.iter().map(|e| &**e));
+        let median = self.observations.median_response_time(endpoints.iter().map(|e| &**e));
         let share = self.connection_share(&request.pool, table);
         let places: Vec<_> = available
             .iter()
@@ -109,7 +110,7 @@
                 wait,
             }),
             None if let Some(turn) = self.first_turn(allowed, request, cold_start, now) => Ok(turn),
-            None => Err(match self.earliest_availability(request, members, cold_start, now) {
+            None => Err(match self.earliest_availability(request, endpoints, cold_start, now) {
                 Some(unavailable) => unavailable.unplaced(now),
                 None if accepting.is_empty() || is_any_allowed => Unplaced::NoEndpoint,
                 None => Unplaced::NotInAllowedRegion,
@@ -129,7 +130,8 @@
         let wait = request.max_permit_wait(now);
         let limited = endpoints.filter(|e| self.limits.rate(e, now).is_some());
         let limited = limited.filter(|e| self.unavailability_for_all(e, cold_start, now).is_none());
-        let turns = limited.map(|e| (self.turns.earliest(e, request.priority, now), &e.id, e));
+        let turns =
+            limited.map(|e| (self.retry_times.earliest(e, request.priority, now), &e.id, e));
         let in_time = turns.filter(|(turn, ..)| turn.is_none_or(|turn| turn <= now + wait));
         let (_, _, first) = in_time.min_by_key(|(turn, id, _)| (*turn, *id))?;
         Some(Choice { endpoint: first.clone(), reason: "turn", candidates: 1, wait })
@@ -141,11 +143,12 @@
     fn earliest_availability(
         &self,
         request: &Request,
-        members: &[Arc<Endpoint>],
+        endpoints: &[Arc<Endpoint>],
         cold_start: Option<ColdStart>,
         now: Timestamp,
     ) -> Option<Unavailable> {
-        let accepting = members.iter().filter(|e| !e.leaving && request.allowed_regions.allows(e));
+        let accepting =
+            endpoints.iter().filter(|e| !e.leaving && request.allowed_regions.allows(e));
         let unavailable: Option<Vec<Unavailable>> =
             accepting.map(|e| self.unavailability(e, request, cold_start, now)).collect();
         unavailable?.into_iter().min()
@@ -160,8 +163,9 @@
         now: Timestamp,
     ) -> Option<Unavailable> {
         let is_limited = self.limits.rate(endpoint, now).is_some();
-        let turn =
-            is_limited.then(|| self.turns.earliest(endpoint, request.priority, now)).flatten();
+        let turn = is_limited
+            .then(|| self.retry_times.earliest(endpoint, request.priority, now))
+            .flatten();
         let turn = turn.map(|until| Unavailable { until, cause: UnavailableCause::Limited });
         self.unavailability_for_all(endpoint, cold_start, now).into_iter().chain(turn).max()
     }
@@ -177,8 +181,8 @@
         let cold = self.cold.available_at(endpoint, cold_start, self.gateway_count, now);
         let cold = cold.map(|until| Unavailable { until, cause: UnavailableCause::Cold });
         let paused = self.backoffs.paused_until(endpoint, now);
-        let filled = || self.ramps.is_full(endpoint).then(|| now + RETRY_SOON);
-        let paused = paused.or_else(filled);
+        let refilling = || self.ramps.is_full(endpoint).then(|| now + RETRY_SOON);
+        let paused = paused.or_else(refilling);
         let paused = paused.map(|until| Unavailable { until, cause: UnavailableCause::Paused });
         cold.into_iter().chain(paused).max()
     }
--- a/src/direct/requests/deferred.rs
+++ b/src/direct/requests/deferred.rs
@@ -49,7 +49,7 @@
 
     /// Adds a request.
     pub fn add(&mut self, caller: u64, incoming: IncomingRequest, now: Timestamp) {
-        let share = incoming.timeout.map_or(MAX_WAIT, |allowed| allowed / TIMEOUT_DIVISOR);
+        let share = incoming.timeout.map_or(MAX_WAIT, |timeout| timeout / TIMEOUT_DIVISOR);
         let until = now + share.min(MAX_WAIT);
         self.requests.push(DeferredRequest { caller, incoming, arrived: now, until });
     }
--- a/src/direct/requests/endpoints.rs
+++ b/src/direct/requests/endpoints.rs
@@ -26,11 +26,16 @@
 struct Observed {
     /// Incarnation of the endpoint that the observations belong to.
     incarnation: u64,
+    /// Open calls of this gateway.
     in_flight: u32,
+    /// Last reported number of running and waiting requests, and when it was reported.
     load_report: Option<(u32, Timestamp)>,
+    /// The endpoint is avoided until then, unless all others are avoided as well.
     avoided_until: Timestamp,
     consecutive_failures: u32,
+    /// Moving average of the share of failed calls.
     failure_rate: f64,
+    /// Moving average of the response time in seconds.
     response_time_s: Option<f64>,
 }
 
--- a/src/direct/requests/mod.rs
+++ b/src/direct/requests/mod.rs
@@ -60,9 +60,8 @@
 pub(super) const RETRY_SOON: Duration = Duration::from_millis(250);
 /// Delay after which callers should retry, at another gateway, while this one has no configuration.
 pub(super) const RETRY_ELSEWHERE: Duration = Duration::from_millis(100);
-/// Upper bound of the jitter added to `retry_after` when all endpoints are paused or rate-limited.
-/// An unbounded jitter would add up to half of the pause; the gradual refill of the endpoints
-/// limits the load anyway.
+/// Upper bound of the jitter added to `retry_after` if all endpoints are paused or rate-limited.
+/// Without it they would wait up to half a pause longer, though the gradual refill limits the load.
 const MAX_PAUSE_JITTER: Duration = Duration::from_millis(500);
 /// Timeout of a request that states none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
@@ -70,7 +69,7 @@
 /// arrived during the suspension are read, and late ones delivered, before calls count as silent.
 pub const RESUME_GRACE: Duration = Duration::from_millis(100);
 
-/// Kind of a timer of a request.
+/// Timer of a request, with the number of skipped owners or of the attempt that it belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     Deadline,
@@ -95,7 +94,7 @@
     /// Rate limits that endpoints announced.
     pub(super) limits: Arc<KnownLimits>,
     /// Earliest time to ask again for a permit, by endpoint and priority, after a refusal.
-    turns: RetryTimes,
+    retry_times: RetryTimes,
     /// Number of the last permit that was asked for.
     last_permit: u64,
     ramps: Ramps,
@@ -129,7 +128,7 @@
 
 impl Requests {
     /// Creates an empty set of requests.
-    pub fn new(own: SocketAddr, incarnation: u64, data_centre: Name, bounds: RepeatBudget) -> Self {
+    pub fn new(own: SocketAddr, incarnation: u64, data_centre: Name, budget: RepeatBudget) -> Self {
         Self {
             own,
             incarnation,
@@ -141,7 +140,7 @@
             cold: ColdEndpoints::new(own),
             backoffs: Arc::new(Backoffs::new(own)),
             limits: Arc::default(),
-            turns: RetryTimes::default(),
+            retry_times: RetryTimes::default(),
             last_permit: 0,
             ramps: Ramps::default(),
             durations: DurationHistory::default(),
@@ -149,7 +148,7 @@
             stopping: None,
             stages_checked_at: Timestamp::ZERO,
             running_sampled_at: Timestamp::ZERO,
-            repeats: RepeatLimiter::new(bounds),
+            repeats: RepeatLimiter::new(budget),
             gateway_count: 1,
             owners: OwnerRanking::default(),
             refusing_cells: HashMap::new(),
@@ -250,8 +249,8 @@
             version: table.deployment.version,
             left_ms: ms(request.deadline.saturating_sub(now)),
         }));
-        if let Some(part) = self.find_poison(&request) {
-            return self.refuse_poison_on_arrival(caller, &request, part);
+        if let Some(fingerprint) = self.find_poison(&request) {
+            return self.refuse_poison_on_arrival(caller, &request, fingerprint);
         }
         self.timers.insert((request.deadline, caller, Timer::Deadline));
         let has_stages = request.has_stages();
@@ -263,6 +262,7 @@
         }
     }
 
+    /// Creates the state of an admissible request.
     pub(super) fn build(
         &self,
         caller: u64,
@@ -271,18 +271,18 @@
         organisation: Option<&Organisation>,
         arrived: Timestamp,
     ) -> Request {
-        let allowed = incoming.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+        let timeout = incoming.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
         let stages = route.stages.len();
         let priority = organisation.and_then(|o| o.priority).unwrap_or(route.priority);
-        let homes = organisation.map_or(&[][..], |o| &o.allowed_regions);
+        let regions = organisation.map_or(&[][..], |o| &o.allowed_regions);
         Request {
             pool: select_pool(route, &incoming.id),
             fingerprint: incoming.content.for_organisation(organisation.map(|o| &*o.name)),
             organisation: organisation.map(|o| o.name.clone()),
-            allowed_regions: AllowedRegions::of(&route.allowed_regions, homes),
+            allowed_regions: AllowedRegions::of(&route.allowed_regions, regions),
             priority,
             arrived,
-            deadline: arrived + allowed,
+            deadline: arrived + timeout,
             job: JobId { gateway: self.own, incarnation: self.incarnation, number: caller },
             phase: Phase::Running,
             results: vec![Vec::new(); stages],
@@ -437,7 +437,7 @@
         }));
     }
 
-    /// Tells the owners that the results of a request's stages are not needed any more.
+    /// Notifies the owners that the results of a request's stages are not needed any more.
     pub(super) fn release(&mut self, caller: u64) {
         let Some(request) = self.requests.get_mut(&caller) else {
             return;
--- a/src/direct/requests/overload.rs
+++ b/src/direct/requests/overload.rs
@@ -24,7 +24,7 @@
 /// messages wait to be read.
 const EVENTS_PER_DECISION: u32 = 3;
 /// How long an announced event lag is used; gateways send it five times a second.
-const LAG_REPORT_TTL: Duration = Duration::from_secs(1);
+const LAG_TTL: Duration = Duration::from_secs(1);
 /// Maximum timeout extension for an owner: within that time failed owners are detected by other
 /// means.
 const MAX_TIMEOUT_EXTENSION: Duration = Duration::from_millis(1_200);
@@ -56,9 +56,9 @@
 
     /// Additional time for an owner's decision, by its event lag and that of this process.
     pub(super) fn owner_timeout_extension(&self, owner: SocketAddr, now: Timestamp) -> Duration {
-        let reported = self.peer_lags.get(&owner).filter(|(_, at)| now < *at + LAG_REPORT_TTL);
-        let reported = reported.map_or(Duration::ZERO, |(lag, _)| *lag * EVENTS_PER_DECISION);
-        (reported + self.event_lag).min(MAX_TIMEOUT_EXTENSION)
+        let announced = self.peer_lags.get(&owner).filter(|(_, at)| now < *at + LAG_TTL);
+        let announced = announced.map_or(Duration::ZERO, |(lag, _)| *lag * EVENTS_PER_DECISION);
+        (announced + self.event_lag).min(MAX_TIMEOUT_EXTENSION)
     }
 
     /// If the event lag is too high to answer a new request before its deadline, the delay after
--- a/src/direct/requests/permits.rs
+++ b/src/direct/requests/permits.rs
@@ -49,7 +49,7 @@
         self.requests.get(&caller).map(|request| request.incoming.id.clone())
     }
 
-    /// Asks for a permit. The request continues with the decision.
+    /// Asks for a permit. The request continues once it is granted or refused.
     pub(super) fn await_permit(&mut self, caller: u64, choice: Choice, now: Timestamp) {
         let Choice { endpoint, reason, candidates, wait } = choice;
         let Some(request) = self.requests.get_mut(&caller) else {
@@ -68,6 +68,7 @@
         self.out.push(Action::RequestPermit(NeededPermit { endpoint, purpose, priority, wait }));
     }
 
+    /// Removes the permit with this number if the request still waits for it.
     fn take_awaited(&mut self, caller: u64, number: u64) -> Option<AwaitedPermit> {
         self.requests.get_mut(&caller)?.permit.take_if(|awaited| awaited.number == number)
     }
@@ -111,17 +112,18 @@
         is_listed && self.unavailability_for_all(endpoint, cold_start, now).is_none()
     }
 
-    /// A permit was refused. Requests of the same priority can expect one at `turn`.
+    /// A permit was refused. Requests of the same or a lower priority should not ask again before
+    /// `retry_at`.
     pub fn permit_refused(
         &mut self,
         (caller, number): (u64, u64),
         endpoint: &Endpoint,
         priority: u8,
-        turn: Timestamp,
+        retry_at: Timestamp,
         table: &Table,
         now: Timestamp,
     ) {
-        self.turns.record(endpoint, priority, turn);
+        self.retry_times.record(endpoint, priority, retry_at);
         if self.take_awaited(caller, number).is_some() {
             self.dispatch(caller, table, now);
         }
--- a/src/direct/requests/poison.rs
+++ b/src/direct/requests/poison.rs
@@ -27,19 +27,19 @@
         &mut self,
         caller: u64,
         request: &Request,
-        part: Fingerprint,
+        fingerprint: Fingerprint,
     ) {
-        self.out.push(Action::PoisonReport(RunReport::Refused(part)));
+        self.out.push(Action::PoisonReport(RunReport::Refused(fingerprint)));
         self.refuse_new(caller, &request.incoming.id, Refused::Poison, RETENTION);
     }
 
     /// Refuses a request if it is quarantined by now; returns whether it is.
     pub(super) fn refuse_if_poison(&mut self, caller: u64, now: Timestamp) -> bool {
-        let part = self.requests.get(&caller).and_then(|request| self.find_poison(request));
-        let Some(part) = part else {
+        let fingerprint = self.requests.get(&caller).and_then(|request| self.find_poison(request));
+        let Some(fingerprint) = fingerprint else {
             return false;
         };
-        self.out.push(Action::PoisonReport(RunReport::Refused(part)));
+        self.out.push(Action::PoisonReport(RunReport::Refused(fingerprint)));
         self.refuse(caller, Refused::Poison, RETENTION, now);
         true
     }
--- a/src/direct/requests/request.rs
+++ b/src/direct/requests/request.rs
@@ -141,8 +141,8 @@
         INITIAL_START_TIME + PROMPT_TOKEN_TIME * u32::try_from(own).unwrap_or(u32::MAX)
     }
 
-    /// Expected length of the run: the maximum of output tokens plus the prompt, converted to
-    /// output tokens.
+    /// Expected length of the run: the maximum number of output tokens plus the prompt, in
+    /// equivalents of output tokens.
     pub fn size(&self) -> u64 {
         let generation = self.incoming.generation.as_ref();
         generation.map_or(1, |g| {
--- a/src/direct/requests/stages.rs
+++ b/src/direct/requests/stages.rs
@@ -35,6 +35,7 @@
 }
 
 impl Requests {
+    /// Submits the stages of a request to the owner of a cell near its probable endpoint.
     pub(super) fn submit_stages(
         &mut self,
         caller: u64,
@@ -199,6 +200,7 @@
         }
     }
 
+    /// Has the stages submitted to the next owner.
     pub(super) fn skip_owner(&mut self, caller: u64, owner: SocketAddr) {
         if let Some(request) = self.requests.get_mut(&caller) {
             request.skipped_owners.push(owner);
@@ -270,6 +272,7 @@
     ends.into_iter().max().unwrap_or_default()
 }
 
+/// The job for the stages of a request, with the results that are already there.
 fn build_job(request: &Request, resubmitted: bool, data_centre: Name, now: Timestamp) -> Job {
     let specs = request.route.stages.iter().enumerate();
     let stages = specs.map(|(i, spec)| JobStage {
--- a/src/direct/requests/stopping.rs
+++ b/src/direct/requests/stopping.rs
@@ -76,7 +76,7 @@
         self.stopping.map_or(crate::direct::requests::RETRY_ELSEWHERE, |s| s.retry_after)
     }
 
-    /// Whether new requests are considered.
+    /// Whether new requests are considered at all.
     pub fn is_open(&self, now: Timestamp) -> bool {
         self.stopping.is_none_or(|s| {
             let is_older = |r: &Request| r.arrived < s.stop.earliest_end();
@@ -130,6 +130,7 @@
         typical.unwrap_or_default().saturating_sub(now.saturating_sub(request.arrived))
     }
 
+    /// Log event of a decision on a request; `None` if the process is not stopping.
     fn stop_decision(
         &self,
         request: &Name,
