--- a/src/direct/backoff.rs
+++ b/src/direct/backoff.rs
@@ -7,7 +7,7 @@
 //! gateway starts without any pauses.
 //!
 //! To avoid that all gateways resume at the same moment, each adds a different delay to the pause,
-//! and each ramps up its requests to the endpoint ([`crate::direct::requests::ramp`]).
+//! and each ramps up its requests to the endpoint (`requests::ramp`).
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/src/direct/departures.rs
+++ b/src/direct/departures.rs
@@ -7,7 +7,7 @@
 //!
 //! Gateways gossip departures, so that each endpoint has to announce its departure only once and a
 //! starting gateway learns of it. The known departures form a set that only grows, so gossip can be
-//! merged in any order. Incarnations that are no longer listed are removed after [`RETENTION`].
+//! merged in any order. Incarnations that are no longer listed are removed after `RETENTION`.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -140,7 +140,7 @@
             .collect()
     }
 
-    /// Removes departures not listed or announced for [`RETENTION`]; returns whether any was
+    /// Removes departures not listed or announced for `RETENTION`; returns whether any was
     /// removed.
     pub fn expire(&mut self, is_listed: impl Fn(&Departure) -> bool, now: Timestamp) -> bool {
         if now < self.next_expiry {
--- a/src/direct/limits/known.rs
+++ b/src/direct/limits/known.rs
@@ -282,7 +282,7 @@
             .collect()
     }
 
-    /// Removes entries that have not changed for [`RETENTION`] and whose incarnation is not listed
+    /// Removes entries that have not changed for `RETENTION` and whose incarnation is not listed
     /// or not limited; returns their incarnations.
     pub fn expire(
         &mut self,
--- a/src/direct/poison/suspects.rs
+++ b/src/direct/poison/suspects.rs
@@ -146,7 +146,7 @@
 pub struct Quarantined {
     /// Fingerprint of the request or stage.
     pub fingerprint: Fingerprint,
-    /// Endpoints that crashed under it, up to [`MAX_CRASHES`].
+    /// Endpoints that crashed under it, up to `MAX_CRASHES`.
     pub endpoints: Vec<Name>,
 }
 
