--- a/src/direct/log_events/kinds.rs
+++ b/src/direct/log_events/kinds.rs
@@ -27,9 +27,9 @@
             bytes: read.bytes,
             expected: read.expected,
             again: read.reconnected,
-            waited_ms: ms(read.waited),
+            waited_ms: ms(read.wait_time),
             took_ms: ms(read.transfer_time),
-            decode_ms: ms(read.decoding),
+            decode_ms: ms(read.decode_time),
         }
     }
 
--- a/src/direct/peers/members.rs
+++ b/src/direct/peers/members.rs
@@ -284,8 +284,8 @@
         self.suspected.values().min().map(|at| *at + SUSPICION_TIMEOUT)
     }
 
-    /// Marks an incarnation of a member as down, since it is unreachable, until it is heard from
-    /// again; returns whether it was considered up.
+    /// Marks an incarnation of a member as down, since it is unreachable, until its heartbeat
+    /// increases; returns whether it was considered up.
     pub fn mark_unreachable(
         &mut self,
         address: SocketAddr,
@@ -333,7 +333,7 @@
             .others
             .values()
             .map(|k| k.last_heartbeat.map_or(k.since + FORGET_AFTER, |h| h + FAILURE_TIMEOUT));
-        // A member that is first heard from after this scan times out later than that.
+        // A member whose first heartbeat arrives after this scan times out later than that.
         self.next_timeout = next.chain([now + FAILURE_TIMEOUT]).min().unwrap_or_default();
         failed
     }
@@ -401,8 +401,9 @@
         1 + self.others.len().max(self.seeds.len().saturating_sub(1))
     }
 
-    /// Returns the `able` member that decides on `key` for all, and the time from which no other
-    /// does: until then other gateways may still consider a failed or leaving member responsible.
+    /// Returns the member that decides on `key` for all gateways, among those for which `able` is
+    /// true, and the time from which no other member decides: until then other gateways may still
+    /// consider a failed or leaving member responsible.
     /// Serving members precede leaving ones; among equals the highest hash weight wins (rendezvous
     /// hashing).
     ///
@@ -433,8 +434,8 @@
     }
 
     /// Returns the fraction of all gateways that may exist which is `able` and has been up for
-    /// [`SETTLE_TIME`], including this one. Members that can't be reached may be in another partition
-    /// and follow other decisions.
+    /// [`SETTLE_TIME`], including this one. Members that can't be reached may be in another
+    /// partition and follow other decisions.
     pub fn reachable_share(&self, able: impl Fn(&Member) -> bool, now: Timestamp) -> f64 {
         let reachable = self.others.values().filter(|known| {
             known.last_heartbeat.is_some()
--- a/src/direct/peers/message.rs
+++ b/src/direct/peers/message.rs
@@ -128,7 +128,7 @@
 /// A message from one gateway to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Membership and state of the sender, sent as its heartbeat.
+    /// The heartbeat of the sender, with its view of the members and its state.
     Gossip {
         /// The members that the sender considers up, including itself.
         members: Vec<Member>,
--- a/src/direct/peers/pulls.rs
+++ b/src/direct/peers/pulls.rs
@@ -37,10 +37,10 @@
 const FIRST_CHUNK_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time within which a peer must send the next part; a connection that loses packets pauses.
 const CHUNK_TIMEOUT: Duration = Duration::from_secs(1);
-/// Age from which a response is slow, ...
+/// Age of a response from which a second peer may be asked.
 const SLOW_AFTER: Duration = Duration::from_secs(1);
-/// ... so that a second peer is asked, unless the response is expected to end within this time at
-/// its average rate.
+/// No second peer is asked while a slow response is expected to end within this time, given its
+/// average rate.
 const MAX_REMAINING: Duration = Duration::from_millis(500);
 /// Maximum number of concurrent requests for a configuration.
 const MAX_IN_FLIGHT: usize = 2;
@@ -146,15 +146,15 @@
     /// First announcement of each version that is still missing.
     first_announced: BTreeMap<u64, Announcement>,
     /// Time at which the last configuration came into force.
-    configured: Option<Timestamp>,
+    configured_at: Option<Timestamp>,
     /// The pulls that have not ended, at most [`MAX_IN_FLIGHT`], the oldest first.
     in_flight: Vec<InFlight>,
     /// Number of the last pull of a configuration.
-    requested: u64,
+    last_number: u64,
     /// Peers that are not asked, and the end of that time.
     backing_off: BTreeMap<SocketAddr, Timestamp>,
     /// Time of the last progress of the own read, if one is running.
-    reading: Option<Timestamp>,
+    read_progressed_at: Option<Timestamp>,
     list: Option<PeerAhead>,
     list_requested: Option<Timestamp>,
 }
@@ -190,12 +190,12 @@
 
     /// Records progress of the own read of a configuration.
     pub const fn read_progressed(&mut self, now: Timestamp) {
-        self.reading = Some(now);
+        self.read_progressed_at = Some(now);
     }
 
     /// Records the end of the own read, successful or not.
     pub const fn read_ended(&mut self) {
-        self.reading = None;
+        self.read_progressed_at = None;
     }
 
     /// Records progress of a peer's response.
@@ -241,7 +241,7 @@
     /// version or an older one.
     pub fn configured(&mut self, version: u64, now: Timestamp) -> Option<Announcement> {
         self.newer.retain(|_, v| *v > version);
-        self.configured = Some(now);
+        self.configured_at = Some(now);
         let outstanding = self.first_announced.split_off(&version.saturating_add(1));
         let announced = std::mem::replace(&mut self.first_announced, outstanding);
         announced.into_values().min_by_key(|t| t.at)
@@ -265,9 +265,9 @@
         if self.configuration_due(own).is_some_and(|at| now >= at)
             && let Some(peer) = self.choose(members, rng)
         {
-            self.requested += 1;
-            self.in_flight.push(InFlight::new(self.requested, peer, now));
-            due.configuration = Some((peer, self.requested));
+            self.last_number += 1;
+            self.in_flight.push(InFlight::new(self.last_number, peer, now));
+            due.configuration = Some((peer, self.last_number));
         }
         let is_ahead = |l: &PeerAhead| !own.complete || l.position > own.seen.endpoints;
         self.list = self.list.filter(is_ahead);
@@ -280,8 +280,8 @@
 
     /// Earliest time at which [`Self::due`] may return an action, as far as is known now.
     pub fn next_wakeup(&self, own: OwnState) -> Option<Timestamp> {
-        let over = self.in_flight.iter().map(InFlight::times_out_at).min();
-        [over, self.configuration_due(own), self.list_due(own)].into_iter().flatten().min()
+        let timeout = self.in_flight.iter().map(InFlight::times_out_at).min();
+        [timeout, self.configuration_due(own), self.list_due(own)].into_iter().flatten().min()
     }
 
     /// Time at which a configuration is to be requested, possibly while another pull is running.
@@ -306,14 +306,14 @@
             .values()
             .map(|t| t.at)
             .min()
-            .or(self.configured)
+            .or(self.configured_at)
             .unwrap_or_default();
         let mut at = since;
-        if let Some(configured) = self.configured.filter(|_| !own.is_starting) {
+        if let Some(configured) = self.configured_at.filter(|_| !own.is_starting) {
             at = (at + OWN_READ_GRACE).max(configured + MIN_INTERVAL);
         }
-        if let Some(reading) = self.reading {
-            at = at.max(reading + READ_PROGRESS_TIMEOUT);
+        if let Some(progressed) = self.read_progressed_at {
+            at = at.max(progressed + READ_PROGRESS_TIMEOUT);
         }
         at.min(since + MAX_WAIT)
     }
@@ -342,8 +342,8 @@
             true if own.seen.endpoints.era < ahead.position.era => OWN_REREAD_GRACE,
             true => OWN_READ_GRACE,
         };
-        let requested = self.list_requested.map_or(Timestamp::ZERO, |at| at + LIST_RETRY_DELAY);
-        Some((ahead.since + wait_limit).max(requested))
+        let retry_at = self.list_requested.map_or(Timestamp::ZERO, |at| at + LIST_RETRY_DELAY);
+        Some((ahead.since + wait_limit).max(retry_at))
     }
 }
 
--- a/src/direct/peers/without_eras.rs
+++ b/src/direct/peers/without_eras.rs
@@ -51,13 +51,13 @@
 #[derive(Deserialize)]
 struct Order {
     revision: u64,
-    stands: bool,
+    in_force: bool,
 }
 
 impl From<Evacuations> for evacuations::Evacuations {
     fn from(Evacuations { read_at, orders }: Evacuations) -> Self {
         let order =
-            |(name, order): (Name, Order)| (name, Position::new(0, order.revision), order.stands);
+            |(name, order): (Name, Order)| (name, Position::new(0, order.revision), order.in_force);
         Self::of(Position::new(0, read_at), orders.into_iter().map(order))
     }
 }
@@ -108,8 +108,8 @@
 
 fn heartbeat(form: u32, fields: &[u8]) -> Option<PeerMessage> {
     let (first, rest) = postcard::take_from_bytes::<Heartbeat>(fields).ok()?;
-    let (departures, rest) = take_since(DEPARTURES_SINCE, form, rest)?;
-    let (limits, _) = take_since(LIMITS_SINCE, form, rest)?;
+    let (departures, rest) = decode_since(DEPARTURES_SINCE, form, rest)?;
+    let (limits, _) = decode_since(LIMITS_SINCE, form, rest)?;
     Some(PeerMessage::Gossip {
         members: first.members,
         seen: first.seen.into(),
@@ -124,7 +124,7 @@
 }
 
 /// Decodes a field that exists from form `since` on; it is empty in earlier forms.
-fn take_since<'a, T: Default + Deserialize<'a>>(
+fn decode_since<'a, T: Default + Deserialize<'a>>(
     since: u32,
     form: u32,
     fields: &'a [u8],
--- a/src/direct/published/cells.rs
+++ b/src/direct/published/cells.rs
@@ -85,8 +85,8 @@
         cell.cloned().unwrap_or_else(|| SINGLE_CELL.into())
     }
 
-    /// Whether the endpoints of a data centre belong to a cell. A single cell has all of
-    /// them, and so does an unknown one.
+    /// Whether the endpoints of a data centre belong to a cell. A single cell contains all data
+    /// centres, and so does an unknown cell.
     pub fn contains(&self, cell: &str, data_centre: &str) -> bool {
         self.cells.len() == 1
             || self.cells.get(cell).is_none_or(|data_centres| data_centres.contains(data_centre))
--- a/src/direct/published/documents.rs
+++ b/src/direct/published/documents.rs
@@ -1,13 +1,13 @@
 //! The published documents that a process has received, by their position in the store's history.
 //!
 //! Documents arrive from the publisher's store and from other gateways, in any order and
-//! repeatedly. The latest position of each document wins, so both sources merge without agreement.
-//! The configuration is ordered by the operator's version instead, independent of the store's
-//! history.
+//! repeatedly. The latest position of each document wins, so both sources merge without
+//! coordination. The configuration is ordered by the operator's version instead, independent of the
+//! store's history.
 //!
-//! An era begins with an older copy of the store. Until entries are written again or the time for
-//! that has passed, removed entries that the copy restores are not used, and entries that are
-//! missing from the copy are.
+//! An era begins when the store is restored from an older copy. Until entries are written again, or
+//! the time for that has passed, an entry that the copy restores after its removal is not used, and
+//! an endpoint that is missing from the copy remains usable.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 pub use crate::direct::published::revised::{Document, Revised, Seen};
 use crate::message::Timestamp;
 
-/// How long the removal of an endpoint is remembered.
+/// Time for which the removal of an endpoint is remembered.
 const REMOVAL_RETENTION: Duration = Duration::from_secs(120);
 /// Time from the start of an era within which every running endpoint has written its entry again:
 /// two seconds as documented by the platform, and one for the change to arrive here.
@@ -45,7 +45,8 @@
     created_revision: u64,
     /// An endpoint that an older copy restored, and the time at which it is confirmed.
     unconfirmed: Option<(Arc<Endpoint>, Timestamp)>,
-    /// The endpoint of an expired entry, and the time until which it remains usable.
+    /// The endpoint of an entry that expired or is missing from a restored copy, and the time until
+    /// which it remains usable.
     expired: Option<(Arc<Endpoint>, Timestamp)>,
     changed_at: Timestamp,
 }
@@ -103,8 +104,8 @@
     Listed,
     /// The entry is listed, and the endpoint accepts no new work.
     Leaving,
-    /// The entry expired while the store was unavailable; the endpoint remains usable for a short
-    /// time.
+    /// The entry expired while the store was unavailable, or is missing from a restored copy; the
+    /// endpoint remains usable for a short time.
     Expired,
     /// There is no entry.
     Removed,
@@ -266,10 +267,10 @@
             match document {
                 Document::Deployment(deployment) => {
                     merged.previous_version =
-                        self.install(position, deployment).or(merged.previous_version);
+                        self.install_deployment(position, deployment).or(merged.previous_version);
                 }
                 Document::Endpoint(endpoint) => {
-                    self.list(position, created_revision, endpoint, now, &mut merged);
+                    self.list_entry(position, created_revision, endpoint, now, &mut merged);
                 }
                 Document::Removed(id) => {
                     self.remove_entry(id, position, retained_until, now, &mut merged)
@@ -333,7 +334,11 @@
         self.seen.endpoints = self.seen.endpoints.max(seen);
     }
 
-    fn install(&mut self, position: Position, deployment: Arc<Deployment>) -> Option<u64> {
+    fn install_deployment(
+        &mut self,
+        position: Position,
+        deployment: Arc<Deployment>,
+    ) -> Option<u64> {
         let before = self.seen.version;
         if deployment.version <= before {
             return None;
@@ -362,7 +367,7 @@
     }
 
     /// Merges an endpoint's entry as of a position.
-    fn list(
+    fn list_entry(
         &mut self,
         position: Position,
         created_revision: u64,
--- a/src/direct/published/evacuations.rs
+++ b/src/direct/published/evacuations.rs
@@ -6,8 +6,8 @@
 //! therefore merge in any order, and a gateway that has missed the withdrawal of an order does not
 //! bring it back.
 //!
-//! When an era begins with an older copy of the store, the orders in force stay in force
-//! ([`UnconfirmedOrders`]) until they are written again or the time for that has passed.
+//! When an era begins with an older copy of the store, each order remains in force or withdrawn as
+//! before ([`UnconfirmedOrders`]) until it is written again or the time for that has passed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -109,8 +109,8 @@
 
     /// Data centres whose order is in force.
     pub fn evacuated(&self) -> BTreeSet<Name> {
-        let standing = self.orders.iter().filter(|(_, order)| order.in_force);
-        standing.map(|(data_centre, _)| data_centre.clone()).collect()
+        let in_force = self.orders.iter().filter(|(_, order)| order.in_force);
+        in_force.map(|(data_centre, _)| data_centre.clone()).collect()
     }
 
     /// Creates the state from individual orders and the position of the last complete read.
@@ -192,7 +192,8 @@
     }
 }
 
-/// Orders that stay in force, or withdrawn, as they were before an era began with an older copy.
+/// Orders that remain in force or withdrawn as they were before the store was restored from an
+/// older copy.
 #[derive(Debug, Default)]
 pub struct UnconfirmedOrders {
     orders: BTreeMap<Name, OrderBeforeEra>,
@@ -246,14 +247,14 @@
 
     /// Returns the data centres to evacuate, given those whose order is in force as far as is
     /// known.
-    pub fn in_force(&self, mut standing: BTreeSet<Name>) -> BTreeSet<Name> {
+    pub fn in_force(&self, mut data_centres: BTreeSet<Name>) -> BTreeSet<Name> {
         for (data_centre, order) in &self.orders {
             if order.was_in_force {
-                standing.insert(data_centre.clone());
+                data_centres.insert(data_centre.clone());
             } else {
-                standing.remove(data_centre);
+                data_centres.remove(data_centre);
             }
         }
-        standing
+        data_centres
     }
 }
--- a/src/direct/published/store_read.rs
+++ b/src/direct/published/store_read.rs
@@ -19,11 +19,11 @@
     pub reconnected: bool,
     /// Time from the call to the response headers, or to the failure; for a watch this includes the
     /// wait for changes.
-    pub waited: Duration,
+    pub wait_time: Duration,
     /// Time from the response headers to the end of the body.
     pub transfer_time: Duration,
     /// Time spent on decoding.
-    pub decoding: Duration,
+    pub decode_time: Duration,
 }
 
 impl StoreRead {
--- a/tests/direct_pulls.rs
+++ b/tests/direct_pulls.rs
@@ -223,9 +223,9 @@
         bytes: 400_000,
         expected: Some(400_000),
         reconnected: false,
-        waited: ms(5),
+        wait_time: ms(5),
         transfer_time: ms(300),
-        decoding: ms(10),
+        decode_time: ms(10),
     };
     assert!(pulls(&core.handle(Event::StoreRead(read), ms(2_300))).is_empty());
     let document = Document::Deployment(deployment(2, Vec::new()).into());
