--- a/src/direct/core.rs
+++ b/src/direct/core.rs
@@ -255,8 +255,10 @@
                 }
             }
             Event::PeerOutboundFailed { address } => {
-                let life = self.members.incarnation_of(address);
-                if life.is_some_and(|life| self.members.suspect(address, life, now)) {
+                let incarnation = self.members.incarnation_of(address);
+                if incarnation
+                    .is_some_and(|incarnation| self.members.suspect(address, incarnation, now))
+                {
                     self.probe_peer(address, now);
                 }
             }
--- a/src/direct/endpoint_status.rs
+++ b/src/direct/endpoint_status.rs
@@ -102,8 +102,10 @@
         if was_full {
             self.prune_departures();
         }
-        let life = |endpoint: &&Arc<Endpoint>| endpoint.incarnation == departure.incarnation;
-        let endpoint = self.documents.endpoint(&departure.endpoint).filter(life).cloned();
+        let is_same_incarnation =
+            |endpoint: &&Arc<Endpoint>| endpoint.incarnation == departure.incarnation;
+        let endpoint =
+            self.documents.endpoint(&departure.endpoint).filter(is_same_incarnation).cloned();
         let is_new = endpoint.as_ref().is_some_and(|endpoint| !endpoint.leaving);
         let (id, incarnation) = (departure.endpoint.clone(), departure.incarnation);
         let listed = self.documents.endpoint(&id).cloned();
--- a/src/direct/peer_messages.rs
+++ b/src/direct/peer_messages.rs
@@ -141,8 +141,8 @@
         now: Timestamp,
     ) {
         self.log(LogEvent::Peer { address, incarnation, alive: false, cause });
-        if let Some((life, build)) = self.builds.remove(address) {
-            self.log_build(address, life, &build, "last");
+        if let Some((build_incarnation, build)) = self.builds.remove(address) {
+            self.log_build(address, build_incarnation, &build, "last");
         }
         self.pulls.remove_peer(address);
         self.owners.release_jobs_of(address, incarnation, &self.table);
--- a/src/direct/poison_detection.rs
+++ b/src/direct/poison_detection.rs
@@ -173,8 +173,8 @@
         }
     }
 
-    /// Asks a peer for suspects with the next heartbeat, after a peer appeared: either side may have
-    /// missed updates.
+    /// Asks a peer for suspects with the next heartbeat, after a peer appeared: either side may
+    /// have missed updates.
     pub(super) fn request_suspects_soon(&mut self, now: Timestamp) {
         self.next_suspects_request = self.next_suspects_request.min(now + HEARTBEAT_INTERVAL);
     }
--- a/src/direct/publication.rs
+++ b/src/direct/publication.rs
@@ -214,8 +214,8 @@
     /// `spread`, a heartbeat is sent at once, so that peers learn of changes from the publisher's
     /// store.
     pub(super) fn merged(&mut self, merged: &Merged, source: &str, spread: bool, now: Timestamp) {
-        for life in &merged.departed {
-            self.on_departure(life.clone(), source, now);
+        for departure in &merged.departed {
+            self.on_departure(departure.clone(), source, now);
         }
         if let Some(before) = merged.previous_version {
             self.log_configured(before, source, now);
--- a/src/direct/rate_limits.rs
+++ b/src/direct/rate_limits.rs
@@ -61,9 +61,9 @@
     /// Applies a changed limit: from now on messages to the endpoint need a permit, or will need
     /// none after a while.
     fn limit_changed(&mut self, account: &AnnouncedLimit, source: &str, now: Timestamp) {
-        let life = (account.endpoint.clone(), account.incarnation);
-        let is_limited = self.limits.rate_of(&life, now).is_some();
-        self.set_gate(&life, is_limited);
+        let endpoint = (account.endpoint.clone(), account.incarnation);
+        let is_limited = self.limits.rate_of(&endpoint, now).is_some();
+        self.set_gate(&endpoint, is_limited);
         self.log(LogEvent::Limit {
             endpoint: account.endpoint.clone(),
             incarnation: account.incarnation,
@@ -75,7 +75,7 @@
             source: source.to_owned(),
         });
         self.share_limits(now);
-        self.issue_permits(Some(&life), now);
+        self.issue_permits(Some(&endpoint), now);
     }
 
     fn set_gate(&mut self, (endpoint, incarnation): &EndpointIncarnation, is_limited: bool) {
@@ -106,13 +106,13 @@
     }
 
     /// Lifts the need for permits for endpoints without a limit.
-    fn lift_limits(&mut self, lives: &[EndpointIncarnation], now: Timestamp) {
-        if lives.is_empty() {
+    fn lift_limits(&mut self, endpoints: &[EndpointIncarnation], now: Timestamp) {
+        if endpoints.is_empty() {
             return;
         }
-        for life in lives {
-            self.set_gate(life, false);
-            self.issue_permits(Some(life), now);
+        for endpoint in endpoints {
+            self.set_gate(endpoint, false);
+            self.issue_permits(Some(endpoint), now);
         }
         self.share_limits(now);
     }
@@ -124,8 +124,8 @@
             self.permit_refused(asked, RETRY_SOON, "silent", now);
         }
         if self.limits.next_unlimited().is_some_and(|at| now >= at) {
-            let freed = Arc::make_mut(&mut self.limits).take_unlimited(now);
-            self.lift_limits(&freed, now);
+            let unlimited = Arc::make_mut(&mut self.limits).take_unlimited(now);
+            self.lift_limits(&unlimited, now);
         }
         if self.limiter.next_wakeup().is_some_and(|at| now >= at) {
             self.issue_permits(None, now);
@@ -138,7 +138,8 @@
             return;
         }
         let mut limiter = std::mem::take(&mut self.limiter);
-        let decided = limiter.issue_due(changed, |life| self.pace(life, now), RETRY_SOON, now);
+        let decided =
+            limiter.issue_due(changed, |endpoint| self.pace(endpoint, now), RETRY_SOON, now);
         self.limiter = limiter;
         self.send_decisions(decided);
     }
@@ -176,11 +177,11 @@
         now: Timestamp,
     ) {
         self.limits_received(asker.gateway, std::slice::from_ref(limit), now);
-        let life = (limit.endpoint.clone(), limit.incarnation);
-        let decided = match self.pace(&life, now) {
+        let endpoint = (limit.endpoint.clone(), limit.incarnation);
+        let decided = match self.pace(&endpoint, now) {
             Some(pace) => {
                 let ask = PermitRequest { asker, priority, latest: now.saturating_add(wait) };
-                self.limiter.request(&life, pace, ask, now)
+                self.limiter.request(&endpoint, pace, ask, now)
             }
             None => vec![PermitDecision::Refused(asker, RETRY_SOON)],
         };
@@ -190,11 +191,11 @@
     /// Rate at which this gateway issues permits for an endpoint; `None` if it is not the
     /// endpoint's limiter. It issues the share of the gateways from which it receives heartbeats,
     /// and none while another gateway may still be issuing.
-    fn pace(&self, life: &EndpointIncarnation, now: Timestamp) -> Option<Pace> {
-        let rate = self.limits.rate_of(life, now)?;
+    fn pace(&self, endpoint: &EndpointIncarnation, now: Timestamp) -> Option<Pace> {
+        let rate = self.limits.rate_of(endpoint, now)?;
         let builds = &self.builds;
         let issues_permits = |member: &Member| builds.gives_permits(member.address);
-        let (limiter, settled) = self.members.limiter(&life.0, issues_permits)?;
+        let (limiter, settled) = self.members.limiter(&endpoint.0, issues_permits)?;
         let has_started_up = self.complete_since.is_some_and(|since| now >= since + STARTUP_DELAY);
         let has_settled = now >= settled && now >= self.resumed_at + SETTLE_TIME;
         let is_limiter = limiter == self.members.own().address && has_started_up && has_settled;
--- a/src/direct/store_restore.rs
+++ b/src/direct/store_restore.rs
@@ -61,7 +61,7 @@
     fn log_restored(&mut self, before: Position, at: Position, merged: &Merged, source: &str) {
         let first_names =
             |names: &[Name]| names.iter().take(MAX_LOGGED_ENDPOINTS).cloned().collect::<Vec<_>>();
-        let leaving = merged.departed.iter().map(|life| life.endpoint.clone());
+        let leaving = merged.departed.iter().map(|departure| departure.endpoint.clone());
         self.log(LogEvent::StoreReturned(StoreReturned {
             before: before.era,
             revision_before: before.revision,
