--- a/src/direct/requests/mod.rs
+++ b/src/direct/requests/mod.rs
@@ -110,7 +110,7 @@
     owners: OwnerRanking,
     /// Cells that recently refused a job for lack of time or capacity, with the end of that state.
     pub(super) refusing_cells: HashMap<Name, Timestamp>,
-    /// Event lag of this process.
+    /// Event lag of this process: how long events wait before they are handled.
     pub(super) event_lag: Duration,
     /// When this process last resumed after a suspension; earlier starting times give no durations.
     pub(super) resumed_at: Timestamp,
