--- a/src/agent/calls.rs
+++ b/src/agent/calls.rs
@@ -1,4 +1,4 @@
-//! What gateways ask of an agent: run, go on sending, take back, cancel.
+//! Handling of gateways' calls: run, resume, revoke and cancel.
 
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
             return self.refuse_call(call, attempt, Ran::Unknown, AgentReason::Forgotten);
         }
         if run.resume.is_some() {
-            // The first message has not come; should it come later, it must find this refusal.
+            // The original run request has not arrived; if it arrives later, it must be refused.
             return self.refuse_first(call, run, AgentReason::Revoked, now);
         }
         if self.is_leaving() || !self.is_configured() {
@@ -48,14 +48,15 @@
         self.enqueue(call, run, now);
     }
 
-    /// An engine may still run what an earlier life of this agent handed over.
+    /// Handles a run request for another incarnation of this agent: an engine may still run an
+    /// attempt that an earlier incarnation handed over.
     pub(super) fn on_run_for_another_life(&mut self, call: CallId, run: Run, now: Timestamp) {
         let attempt = run.attempt;
         let Some(offset) = run.resume else {
             return self.refuse_call(call, attempt, Ran::NotRun, AgentReason::WrongIncarnation);
         };
         if !self.is_configured() {
-            // Whether the endpoint is an engine is not known yet: the gateway asks again.
+            // It is not known yet whether the endpoint is an engine; the gateway retries later.
             self.actions.push(Action::Close { call });
             return;
         }
@@ -64,7 +65,7 @@
         }
         let phase = Phase::Running { since: now, resumes: 0 };
         let mut adopted = Attempt::new(run, Some(call), phase, now);
-        // The digest must cover the whole result, so the stream is read from its start.
+        // The digest covers the complete result, so the stream is read from its start.
         adopted.run.resume = Some(offset);
         self.attempts.insert(attempt, adopted);
         self.calls.insert(call, attempt);
@@ -98,7 +99,7 @@
         self.queue.push(ticket);
     }
 
-    /// A gateway comes back to an attempt: it gets what it has not seen, and then what follows.
+    /// Attaches a call to a known attempt: sends the result from `offset` on, and later replies.
     pub(super) fn attach(&mut self, call: CallId, id: AttemptId, offset: u64) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
@@ -174,7 +175,7 @@
             };
         }
         if agent == Incarnation::UNKNOWN {
-            // No life of any agent begins what names none.
+            // No agent begins an attempt that names no incarnation.
             return Revocation::NotRun;
         }
         let forgotten = self.floors.get(&id.gateway).is_some_and(|f| id.sequence <= f.sequence);
@@ -185,7 +186,7 @@
         Revocation::NotRun
     }
 
-    /// The attempt's message may still be on its way; it must not be begun when it comes.
+    /// Inserts an ended attempt, so that its run request is refused if it arrives later.
     pub(super) fn insert_tombstone(&mut self, attempt: AttemptId, now: Timestamp) {
         let run = Run {
             attempt,
--- a/src/agent/core.rs
+++ b/src/agent/core.rs
@@ -1,7 +1,7 @@
-//! The agent's decisions, without I/O or clock: events in, actions out.
+//! Decision logic of the agent, without I/O or clock: maps events to actions.
 //!
-//! The move from queued to handed over is one step in one place ([`AgentCore::hand_over`]); only what
-//! has not made it may be refused as `not_run`.
+//! An attempt is handed over to the endpoint in one step, in one place (`AgentCore::hand_over`);
+//! only attempts that were not handed over may be refused as `not_run`.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -17,9 +17,9 @@
 use crate::policy::predict::Estimate;
 use crate::result::ResultBuffer;
 
-/// An attempt with less than this share of the usual time left is not begun.
+/// An attempt is not begun if less than this share of the typical service time is left.
 const HOPELESS_SHARE: f64 = 0.5;
-/// Results that must have been seen before that is judged.
+/// Number of service time samples required before [`HOPELESS_SHARE`] is applied.
 const HOPELESS_SAMPLES: u32 = 20;
 
 #[derive(Debug, Clone, PartialEq)]
@@ -54,14 +54,14 @@
     }
 }
 
-/// The highest attempt of a gateway that was forgotten; lower ones are not begun any more.
+/// Highest sequence number of a gateway's forgotten attempts; attempts up to it are not begun.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Floor {
     pub(super) sequence: u64,
     used_at: Timestamp,
 }
 
-/// The state of one agent.
+/// Core of one agent: its state and its decisions.
 #[derive(Debug)]
 pub struct AgentCore {
     pub(super) incarnation: Incarnation,
@@ -125,7 +125,7 @@
 }
 
 impl AgentCore {
-    /// An agent of `endpoint`; it begins nothing until it is configured.
+    /// Creates an agent of `endpoint`; it begins no attempts until it is configured.
     pub fn new(incarnation: Incarnation, endpoint: &str, bounds: Bounds) -> Self {
         Self {
             incarnation,
@@ -148,27 +148,27 @@
         }
     }
 
-    /// This agent's incarnation.
+    /// Incarnation of this agent.
     pub const fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The load that goes with every reply.
+    /// Current load, reported with every reply.
     pub fn load(&self) -> Load {
         Load { queued: self.queue.len() as u32, running: self.running, limit: self.concurrency }
     }
 
-    /// Whether it takes no new work.
+    /// Whether the agent refuses new attempts.
     pub const fn is_leaving(&self) -> bool {
         self.leaving || self.draining
     }
 
-    /// Whether nothing waits or runs.
+    /// Whether no attempt is queued, claiming or running.
     pub fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.running == 0 && !self.has_claims()
     }
 
-    /// Whether a configuration has named its endpoint.
+    /// Whether a configuration with this agent's endpoint was received.
     pub const fn is_configured(&self) -> bool {
         self.concurrency > 0
     }
@@ -177,7 +177,7 @@
         self.attempts.values().any(|a| a.phase == Phase::Claiming)
     }
 
-    /// Says that an attempt waits, so that its gateway can tell waiting from silence.
+    /// Acknowledges a queued attempt, so that its gateway can tell it from a lost one.
     fn acknowledge(&mut self, call: CallId, id: AttemptId) {
         if self.attempts.get(&id).is_some_and(|a| a.phase == Phase::Queued) {
             self.send(call, id, Reply::Queued);
@@ -188,7 +188,7 @@
         self.actions.push(Action::Send { call, attempt, reply });
     }
 
-    /// Time until the queue has drained, by the measured rate.
+    /// Estimated time until the queue is empty, from the typical service time.
     pub(super) fn retry_after(&self) -> Duration {
         let waiting = self.queue.len() as u32 + self.running;
         self.service.typical() * waiting / self.concurrency.max(1)
@@ -205,7 +205,8 @@
         self.end(id, Reply::Refused { ran, reason, retry_after }, now);
     }
 
-    /// The one place where an attempt ends; it is kept for a while, for a gateway that comes back.
+    /// Ends an attempt and keeps it for a while for gateways that reattach. The only function that
+    /// ends attempts.
     pub(super) fn end(&mut self, id: AttemptId, reply: Reply, now: Timestamp) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
@@ -265,7 +266,7 @@
         }
     }
 
-    /// What was forgotten must never be begun again, so its gateway's floor covers it.
+    /// Raises the gateway's floor to a forgotten attempt, so that it is never begun again.
     fn raise_floor(&mut self, id: AttemptId, now: Timestamp) {
         let floor = self.floors.entry(id.gateway).or_insert(Floor { sequence: 0, used_at: now });
         floor.sequence = floor.sequence.max(id.sequence);
@@ -287,7 +288,7 @@
         }
     }
 
-    /// An attempt with less time left would not be done by its deadline if it began now.
+    /// Minimum remaining time with which an attempt is begun; with less it would miss its deadline.
     fn least_needed(&self) -> Duration {
         if self.service.samples() < HOPELESS_SAMPLES {
             return Duration::ZERO;
@@ -295,8 +296,8 @@
         self.service.typical().mul_f64(HOPELESS_SHARE)
     }
 
-    /// From queued to handed over: after this, `not_run` is never said of the attempt again,
-    /// unless its ticket's home refused it or no connection was made.
+    /// Hands a queued attempt over to the endpoint. From here on the attempt is never reported as
+    /// `not_run`, unless its ticket's claim is refused or no connection could be established.
     fn hand_over(&mut self, id: AttemptId, now: Timestamp) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
--- a/src/agent/endpoint.rs
+++ b/src/agent/endpoint.rs
@@ -1,4 +1,5 @@
-//! Calls an endpoint over HTTP: a plain service answers once, an engine streams and can be resumed.
+//! HTTP client of an endpoint: a plain service sends one response, an engine sends a stream that
+//! can be resumed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,20 +20,20 @@
 use crate::config::EndpointKind;
 use crate::message::{AttemptId, Run};
 
-/// How long a connection to the endpoint may take to be made.
+/// Timeout for connecting to the endpoint.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest line of an engine's stream.
+/// Maximum length of a line of an engine's stream, in bytes.
 const MAX_LINE_LEN: usize = 1 << 20;
 
-/// Names the attempt, in requests and in answers.
+/// Header with the identity of the attempt, in requests and responses.
 pub const ATTEMPT_HEADER: &str = "x-stackmast-attempt";
-/// Names the request.
+/// Header with the identity of the request.
 pub const REQUEST_HEADER: &str = "x-stackmast-request";
-/// Names the organisation.
+/// Header with the name of the organisation.
 pub const ORGANISATION_HEADER: &str = "x-stackmast-organisation";
-/// Gives the priority.
+/// Header with the priority.
 pub const PRIORITY_HEADER: &str = "x-stackmast-priority";
-/// Gives the milliseconds until the caller's deadline.
+/// Header with the time until the caller's deadline, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-stackmast-deadline-ms";
 
 /// A line of an engine's stream.
@@ -43,18 +44,18 @@
     Done { done: bool, length: u64 },
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// The engine took it.
+    /// The engine accepted the order.
     Taken,
-    /// The engine has a newer one.
+    /// The engine has accepted a newer order.
     Refused,
-    /// The engine can't be reached, or failed.
+    /// The engine is unreachable or answered with an error.
     Failed,
 }
 
-/// A client of one endpoint.
+/// HTTP client of one endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointClient {
     address: SocketAddr,
@@ -62,17 +63,17 @@
 }
 
 impl EndpointClient {
-    /// A client of the endpoint at `address`.
+    /// Creates a client of the endpoint at `address`.
     pub fn new(address: SocketAddr) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
-        // Only a request of which no byte was written is sent again by the library.
+        // The library retries a request only if none of its bytes was written.
         let client = Client::builder(TokioExecutor::new()).build(connector);
         Self { address, client }
     }
 
-    /// Makes a call and passes what comes of it to the core.
+    /// Calls the endpoint and forwards the events of the call to the core.
     pub async fn call(
         &self,
         kind: EndpointKind,
@@ -92,7 +93,7 @@
         events.send(last).await;
     }
 
-    /// Ends a stream at an engine; what the engine makes of it doesn't matter any more.
+    /// Cancels a stream at an engine; failures are ignored.
     pub async fn cancel(&self, attempt: AttemptId) {
         let uri = format!("http://{}/v1/streams/{attempt}", self.address);
         let request = Request::builder().method(Method::DELETE).uri(uri).body(Full::default());
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Gives an order.
+    /// Sends an order to the engine.
     pub async fn order(&self, order: &Order) -> OrderAnswer {
         let uri = format!("http://{}/v1/orders", self.address);
         let body = serde_json::to_vec(order).unwrap_or_default();
@@ -172,7 +173,7 @@
     }
 }
 
-/// Where the events of one call go.
+/// Sender of the events of one call to the core.
 struct Events<'a> {
     attempt: AttemptId,
     core: &'a Handle<AgentCore>,
@@ -181,7 +182,7 @@
 impl Events<'_> {
     async fn send(&self, event: EndpointEvent) {
         let attempt = self.attempt;
-        // A core that has stopped has no use for it.
+        // The event is dropped if the core has stopped.
         self.core.send(Event::Endpoint { attempt, event }).await.ok();
     }
 }
--- a/src/agent/event.rs
+++ b/src/agent/event.rs
@@ -1,4 +1,4 @@
-//! What happens to an agent's core, and what it has its shell do.
+//! Events that the agent core handles, and actions that it asks its shell to carry out.
 
 use std::time::Duration;
 
@@ -6,26 +6,26 @@
 
 use crate::message::{AttemptId, Claim, Incarnation, Reply, Revocation, Run};
 
-/// One call of a gateway: the stream on which replies go back.
+/// Identity of a gateway's call: the stream on which the agent replies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// Bounds of an agent, from its settings.
+/// Capacity bounds of an agent, from its settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// Attempts that may wait.
+    /// Maximum number of queued attempts.
     pub queue: usize,
-    /// Bytes of one result.
+    /// Maximum size of one result, in bytes.
     pub result_bytes: usize,
-    /// Bytes of ended results that are kept for gateways that come back.
+    /// Maximum total size of ended results kept for gateways that reattach, in bytes.
     pub retained_bytes: usize,
-    /// Ended attempts that are kept.
+    /// Maximum number of ended attempts kept.
     pub retained: usize,
     /// How long an ended attempt is kept.
     pub retain: Duration,
-    /// How long an attempt waits after its gateway's call was lost.
+    /// How long a queued attempt without an open call is kept before it is revoked.
     pub orphan_grace: Duration,
-    /// Gateways whose floors are kept.
+    /// Maximum number of gateways for which a sequence floor is kept.
     pub gateways: usize,
 }
 
@@ -43,164 +43,164 @@
     }
 }
 
-/// How an endpoint call failed.
+/// How a call to the endpoint failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointFailure {
-    /// No connection was made, so nothing was sent.
+    /// The connection could not be established; nothing was sent.
     Unreachable,
-    /// The connection was lost while the endpoint ran it.
+    /// The connection was lost after the request may have been sent.
     Cut,
-    /// The endpoint answered with an error.
+    /// The endpoint answered with an error status.
     Failed,
-    /// The endpoint answered for another attempt or stage.
+    /// The endpoint broke the protocol, for example by answering for another attempt.
     Misbehaved,
     /// The endpoint does not know the attempt that was to be resumed.
     UnknownAttempt,
 }
 
-/// What an endpoint says of a call.
+/// Progress of a call to the endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EndpointEvent {
-    /// A piece of the result.
+    /// A chunk of the result arrived.
     Chunk {
-        /// Where it starts.
+        /// Offset of the chunk in the result, in bytes.
         offset: u64,
-        /// The piece.
+        /// Bytes of the chunk.
         data: Bytes,
     },
-    /// The result is whole at this length.
+    /// The result is complete.
     Done {
-        /// Bytes of the result.
+        /// Length of the complete result, in bytes.
         length: u64,
     },
     /// The call failed.
     Failed(EndpointFailure),
 }
 
-/// The word of a ticket's home.
+/// Answer of a ticket's issuing agent to a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimAnswer {
-    /// This run may begin.
+    /// The run may begin.
     Granted,
-    /// Another run has begun, or the ticket is void; nothing of this one has run.
+    /// Another run has begun, or the ticket is void; nothing of this run has begun.
     Refused,
-    /// The home could not be asked.
+    /// The issuing agent did not answer.
     Unreachable,
 }
 
-/// What happens to an agent.
+/// An input of the agent core.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A gateway asks for an attempt.
+    /// A gateway opened a call to run or resume an attempt.
     Run {
-        /// Where replies go.
+        /// The call on which replies are sent.
         call: CallId,
-        /// What is asked.
+        /// Content of the run request.
         run: Run,
     },
-    /// A gateway's call is gone.
+    /// A gateway's call was closed.
     CallClosed {
         /// The call.
         call: CallId,
     },
-    /// A gateway takes an attempt back.
+    /// A gateway revokes an attempt if it has not begun.
     Revoke {
-        /// Where the answer goes.
+        /// Call on which the outcome is sent.
         call: CallId,
-        /// The attempt.
+        /// The attempt to revoke.
         attempt: AttemptId,
-        /// The agent that is meant.
+        /// Incarnation of the agent that the attempt was sent to.
         agent: Incarnation,
     },
-    /// A gateway has no more use for an attempt, begun or not.
+    /// A gateway cancels an attempt, begun or not.
     Cancel {
-        /// The attempt.
+        /// The attempt to cancel.
         attempt: AttemptId,
     },
-    /// The endpoint speaks.
+    /// A call to the endpoint made progress.
     Endpoint {
-        /// Of this attempt.
+        /// The attempt that the call runs.
         attempt: AttemptId,
-        /// What it says.
+        /// What happened on the call.
         event: EndpointEvent,
     },
-    /// The home of a ticket answers.
+    /// A ticket's issuing agent answered a claim.
     Claimed {
-        /// For this attempt.
+        /// The attempt that the claim was made for.
         attempt: AttemptId,
-        /// Its word.
+        /// Answer of the issuing agent.
         answer: ClaimAnswer,
     },
-    /// What the configuration says of the endpoint.
+    /// The configuration of the endpoint changed.
     Configure {
-        /// Calls that it runs at once.
+        /// Maximum number of concurrent calls to the endpoint.
         concurrency: u32,
-        /// Whether the configuration or the host list calls it leaving.
+        /// Whether the configuration or the host list marks the endpoint as leaving.
         leaving: bool,
-        /// Whether its streams can be resumed.
+        /// Whether the endpoint is an engine, whose streams can be resumed.
         is_engine: bool,
     },
-    /// The process was told to stop.
+    /// The process received a request to stop.
     Drain,
-    /// Time has passed.
+    /// Time has passed; due entries are processed.
     Tick,
 }
 
-/// How an endpoint call starts.
+/// How a call to the endpoint starts.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallStart {
-    /// Run it.
+    /// Send the input and run the stage.
     Begin(Box<Run>),
-    /// Go on with what the endpoint runs already.
+    /// Reattach to a stream that the endpoint already runs.
     Resume {
-        /// From this offset.
+        /// Offset in the result from which to read, in bytes.
         offset: u64,
-        /// After this time.
+        /// Delay before the call.
         after: Duration,
     },
 }
 
-/// What the agent's shell must do.
+/// An action for the agent's shell.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send a reply on a call.
     Send {
         /// The call.
         call: CallId,
-        /// The attempt.
+        /// The attempt that the reply is about.
         attempt: AttemptId,
         /// The reply.
         reply: Reply,
     },
-    /// End a call without a final reply: the attempt is listened to on another one.
+    /// Close a call without a final reply: another call has replaced it, or the gateway must retry.
     Close {
         /// The call.
         call: CallId,
     },
     /// Answer a revocation.
     Revoked {
-        /// The call.
+        /// Call of the revocation.
         call: CallId,
-        /// What became of the attempt.
+        /// Outcome of the revocation.
         outcome: Revocation,
     },
-    /// Start an endpoint call.
+    /// Start a call to the endpoint.
     Call {
-        /// For this attempt.
+        /// The attempt to run or resume.
         attempt: AttemptId,
-        /// How.
+        /// Whether to begin or to resume, with parameters.
         start: CallStart,
     },
-    /// End an endpoint call.
+    /// Cancel a call to the endpoint.
     CancelCall {
-        /// Of this attempt.
+        /// The attempt that the call runs.
         attempt: AttemptId,
     },
-    /// Ask a ticket's home.
+    /// Claim a ticket at its issuing agent.
     Claim {
-        /// For this attempt.
+        /// The attempt to claim the ticket for.
         attempt: AttemptId,
-        /// What to ask.
+        /// The claim.
         claim: Claim,
     },
 }
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -1,4 +1,5 @@
-//! The agent: the process beside an endpoint, the one place that knows what has begun to run there.
+//! The agent: runs beside an endpoint, queues attempts for it and is the authority on which of them
+//! have begun.
 
 mod calls;
 pub mod core;
--- a/src/agent/orders.rs
+++ b/src/agent/orders.rs
@@ -1,7 +1,8 @@
-//! Orders to an engine: each agent derives its own endpoint's from the configuration.
+//! Load orders to an engine: each agent derives the orders of its endpoint from the configuration.
 //!
-//! No process gives orders for another, so none has to agree with one. Each order carries a fence
-//! (configuration version, then incarnation), by which an engine that checks refuses an older one.
+//! No process sends orders on behalf of another, so none of them needs to be agreed on. Each order
+//! carries a fencing token (configuration version, then incarnation), with which an engine that
+//! checks it refuses older orders.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,23 +16,23 @@
 use crate::config_store::{ConfigStore, Installed};
 use crate::message::Incarnation;
 
-/// An order that can't be given is given again after this time; each further one after twice as long.
+/// Initial delay before a failed order is retried; it doubles with each further retry.
 const RETRY_FIRST: Duration = Duration::from_millis(200);
-/// The longest wait before an order is given again.
+/// Maximum delay before a failed order is retried.
 const RETRY_LONGEST: Duration = Duration::from_secs(10);
 
-/// An order to load, with its fence.
+/// A load order with its fencing token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The configuration's version; an engine refuses one lower than it has taken.
+    /// Version of the configuration; an engine refuses a lower version than it has accepted.
     pub version: u64,
-    /// The agent's incarnation.
+    /// Incarnation of the agent.
     pub incarnation: String,
-    /// What is to be loaded, such as `model@version` or `model+adapter`.
+    /// Items to load, such as `model@version` or `model+adapter`.
     pub load: Vec<String>,
 }
 
-/// What an endpoint is to have loaded; `None` where no placement is for it.
+/// Items that an endpoint is to have loaded; `None` if no placement selects it.
 pub fn desired(config: &Config, endpoint: &Endpoint) -> Option<Vec<String>> {
     if endpoint.kind != EndpointKind::Engine {
         return None;
@@ -47,8 +48,8 @@
     (!load.is_empty()).then_some(load)
 }
 
-/// When an endpoint loads, so that the fleet together stays within the weight store's rate: each agent
-/// finds its place in the same line, which no two have to agree on.
+/// Delay after which an endpoint loads, so that the fleet as a whole stays within the weight
+/// store's rate. All agents compute the same order of endpoints, without coordination.
 pub fn turn(config: &Config, endpoint: &Endpoint) -> Duration {
     let rank = |name: &str| xxh3_64_with_seed(name.as_bytes(), config.version);
     let own = rank(&endpoint.name);
@@ -57,22 +58,22 @@
     Duration::from_secs_f64(before as f64 / config.policy.loads_per_second)
 }
 
-/// Gives the orders of one endpoint.
+/// Sends the load orders of one endpoint.
 pub struct Orders {
-    /// The endpoint's name.
+    /// Name of the endpoint.
     pub endpoint: String,
-    /// The agent's incarnation.
+    /// Incarnation of the agent.
     pub incarnation: Incarnation,
-    /// Where orders go.
+    /// Client of the endpoint.
     pub client: EndpointClient,
-    /// The configuration.
+    /// Store of the configuration in force.
     pub store: Arc<ConfigStore>,
-    /// The trail of changes.
+    /// Audit trail of changes.
     pub audit: Audit,
 }
 
 impl Orders {
-    /// Gives an order whenever the configuration changes what is to be loaded.
+    /// Sends an order whenever a new configuration changes the items to load.
     pub async fn run(self) {
         let mut configs = self.store.subscribe();
         let mut loaded: Option<Vec<String>> = None;
@@ -85,7 +86,7 @@
                     done = self.load(&installed, load.clone()) => {
                         loaded = done.then_some(load);
                     }
-                    // A newer configuration takes the place of what was not yet ordered.
+                    // A newer configuration replaces an order that was not yet sent.
                     changed = configs.changed() => {
                         if changed.is_err() {
                             return;
@@ -111,7 +112,8 @@
         endpoints.find(|e| e.name == self.endpoint).map(|e| &**e)
     }
 
-    /// Gives an order in its turn, until the engine has taken or refused it; returns whether it took it.
+    /// Sends an order after the endpoint's delay and retries until the engine accepts or refuses
+    /// it; returns whether it was accepted.
     async fn load(&self, installed: &Installed, load: Vec<String>) -> bool {
         let Some(endpoint) = self.endpoint(installed) else {
             return false;
@@ -121,7 +123,7 @@
         let order = Order { version, incarnation: self.incarnation.to_string(), load };
         let mut wait = RETRY_FIRST;
         loop {
-            // After a pause of this process, the order may be one of yesterday.
+            // If this process was suspended, the order may be out of date.
             if self.store.version() > version {
                 return false;
             }
--- a/src/agent/queue.rs
+++ b/src/agent/queue.rs
@@ -1,22 +1,22 @@
-//! The agent's queue: priority first, then fair shares of organisations, then least slack.
+//! Queue of an agent: ordered by priority, then fair shares of organisations, then deadline.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use crate::message::{AttemptId, Timestamp};
 
-/// Dispatches by which organisations may differ before the one served less goes first.
+/// Maximum lead, in dispatched attempts, of an organisation over the least served one.
 const FAIR_WINDOW: u64 = 2;
 
-/// Where an attempt stands in the queue.
+/// Queue entry of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ticket {
-    /// Which attempt.
+    /// Identity of the attempt.
     pub attempt: AttemptId,
-    /// A higher one goes first.
+    /// Priority of the attempt; higher priorities are dispatched first.
     pub priority: u8,
-    /// Whose share it is.
+    /// Organisation to whose share the attempt is charged.
     pub organisation: String,
-    /// When its caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: Timestamp,
 }
 
@@ -26,13 +26,14 @@
     waiting: BTreeSet<(Timestamp, AttemptId)>,
 }
 
-/// One priority's organisations; a newcomer starts at the least served one's count.
+/// Organisations with queued attempts of one priority; a new one starts at the least served one's
+/// count.
 #[derive(Debug, Default)]
 struct Level {
     shares: HashMap<String, Share>,
 }
 
-/// Attempts that wait to be handed over.
+/// Attempts that wait to be handed over to the endpoint.
 #[derive(Debug, Default)]
 pub struct Queue {
     levels: BTreeMap<u8, Level>,
@@ -41,17 +42,17 @@
 }
 
 impl Queue {
-    /// Attempts that wait.
+    /// Number of queued attempts.
     pub fn len(&self) -> usize {
         self.tickets.len()
     }
 
-    /// Whether none waits.
+    /// Whether no attempt is queued.
     pub fn is_empty(&self) -> bool {
         self.tickets.is_empty()
     }
 
-    /// Lets an attempt wait.
+    /// Adds an attempt.
     pub fn push(&mut self, ticket: Ticket) {
         let level = self.levels.entry(ticket.priority).or_default();
         let least = level.shares.values().map(|s| s.served).min().unwrap_or(0);
@@ -62,7 +63,7 @@
         self.tickets.insert(ticket.attempt, ticket);
     }
 
-    /// Takes the attempt that goes next.
+    /// Removes and returns the next attempt in order.
     pub fn pop(&mut self) -> Option<Ticket> {
         let (_, level) = self.levels.last_key_value()?;
         let least = level.shares.values().map(|s| s.served).min()?;
@@ -73,7 +74,7 @@
         Some(ticket)
     }
 
-    /// Takes an attempt out of its turn.
+    /// Removes an attempt; returns whether it was queued.
     pub fn remove(&mut self, attempt: AttemptId) -> bool {
         let Some(ticket) = self.take(attempt) else {
             return false;
@@ -82,7 +83,7 @@
         true
     }
 
-    /// Takes an attempt whose deadline has passed.
+    /// Removes and returns an attempt whose deadline has passed.
     pub fn pop_expired(&mut self, now: Timestamp) -> Option<AttemptId> {
         let (deadline, attempt) = self.deadlines.first().copied()?;
         if deadline > now {
@@ -92,12 +93,12 @@
         Some(attempt)
     }
 
-    /// The first deadline of those that wait.
+    /// Earliest deadline of the queued attempts.
     pub fn first_deadline(&self) -> Option<Timestamp> {
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// All attempts that wait, in no order.
+    /// All queued attempts, in no particular order.
     pub fn attempts(&self) -> Vec<AttemptId> {
         self.tickets.keys().copied().collect()
     }
@@ -119,7 +120,7 @@
         self.tidy(ticket);
     }
 
-    /// Lets go of an organisation without waiting attempts, and of a level without organisations.
+    /// Removes an organisation without queued attempts, and a level without organisations.
     fn tidy(&mut self, ticket: &Ticket) {
         let Some(level) = self.levels.get_mut(&ticket.priority) else {
             return;
--- a/src/agent/running.rs
+++ b/src/agent/running.rs
@@ -1,4 +1,4 @@
-//! What comes of attempts that were handed over: pieces, results, failures.
+//! Handling of attempts that were handed over: chunks, results, failures and claims.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
 use super::event::{Action, CallStart, ClaimAnswer, EndpointEvent, EndpointFailure};
 use crate::message::{AgentReason, AttemptId, Ran, Reply, Timestamp};
 
-/// Tries to resume one stream at the engine before it is given up.
+/// Maximum number of consecutive resumes of a stream at the engine.
 const ENGINE_RESUMES: u32 = 6;
-/// The wait before a stream is resumed; each further one is twice as long.
+/// Initial delay before a stream is resumed; it doubles with each further resume.
 const ENGINE_RESUME_FIRST: Duration = Duration::from_millis(10);
 
 impl AgentCore {
@@ -38,7 +38,7 @@
         if let Phase::Running { resumes, .. } = &mut attempt.phase {
             *resumes = 0;
         }
-        // A gateway that came back has what lies before its offset.
+        // A gateway that resumed already has the bytes before its offset.
         let seen = attempt.run.resume.unwrap_or(0);
         let listener = attempt.listener;
         let skip = seen.saturating_sub(have).min(fresh.len() as u64) as usize;
@@ -74,7 +74,8 @@
         now: Timestamp,
     ) {
         match failure {
-            // Only what was never connected is known not to have run, and only where it was not resumed.
+            // A failed connection proves that the attempt did not run only if this is the
+            // attempt's first call.
             EndpointFailure::Unreachable if tried == 0 && self.is_first_call(id) => {
                 self.end_refused(id, Ran::NotRun, AgentReason::EndpointUnreachable, now);
             }
@@ -118,7 +119,7 @@
         }
         match answer {
             ClaimAnswer::Granted => self.begin(id, now),
-            // Nothing of this run has begun; whether another one has is the home's to say.
+            // Nothing of this run has begun; only the issuing agent knows whether another run has.
             ClaimAnswer::Refused | ClaimAnswer::Unreachable => {
                 self.running -= 1;
                 self.end_refused(id, Ran::NotRun, AgentReason::ClaimRefused, now);
--- a/src/agent/service.rs
+++ b/src/agent/service.rs
@@ -1,4 +1,4 @@
-//! The agent's side of the protocol: stages and tickets.
+//! gRPC service of the agent: stages and tickets.
 
 use std::sync::Arc;
 
@@ -8,12 +8,12 @@
 use super::tickets::Tickets;
 use crate::wire::v1;
 
-/// What other processes call at an agent.
+/// Implementation of the `Agent` gRPC service.
 #[derive(Clone)]
 pub struct AgentService {
-    /// Runs stages.
+    /// Handles stage calls and revocations.
     pub stages: StageService,
-    /// Keeps tickets.
+    /// Tickets issued by this agent.
     pub tickets: Arc<Tickets>,
 }
 
--- a/src/agent/shell.rs
+++ b/src/agent/shell.rs
@@ -1,4 +1,4 @@
-//! The agent's sockets: calls of gateways in, calls of the endpoint out.
+//! I/O of the agent: calls from gateways, calls to the endpoint, and claims at issuing agents.
 
 use std::collections::HashMap;
 use std::pin::Pin;
@@ -22,12 +22,12 @@
 use crate::wire::v1::agent_client::AgentClient;
 use crate::wire::{PROTOCOL, reply_to_wire, run_from_wire, v1};
 
-/// How long a ticket's home may take to answer; the attempt holds a place at the endpoint meanwhile.
+/// Timeout of a claim; the attempt occupies a slot of the endpoint until the claim is answered.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(500);
 
 type ReplySender = mpsc::UnboundedSender<Result<v1::StageReply, Status>>;
 
-/// The open calls of gateways, by which replies find their way.
+/// The open calls of gateways, with the channels on which they are answered.
 #[derive(Default)]
 struct Calls {
     next: AtomicU64,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Carries out the agent core's actions.
+/// Executes the actions of the agent core.
 pub struct AgentShell {
     calls: Arc<Calls>,
     core: Handle<AgentCore>,
@@ -71,7 +71,7 @@
     running: HashMap<AttemptId, AbortHandle>,
 }
 
-/// The shell, and the service that feeds its core.
+/// Creates the shell, and the service that passes gateways' calls to the core.
 pub fn shell(
     core: Handle<AgentCore>,
     incarnation: Incarnation,
@@ -161,7 +161,7 @@
     }
 }
 
-/// What gateways call.
+/// Serves the stage calls and revocations of gateways.
 #[derive(Clone)]
 pub struct StageService {
     calls: Arc<Calls>,
@@ -199,9 +199,11 @@
         reply_to_wire(attempt, self.incarnation, Load::default(), reply)
     }
 
-    /// Takes an attempt back; with `cancel`, ends it also where it has begun.
+    /// Revokes an attempt; with `cancel`, also ends an attempt that has begun.
     pub async fn revoke(&self, request: v1::RevokeRequest) -> Result<v1::RevokeReply, Status> {
-        let attempt = request.attempt.ok_or_else(|| Status::invalid_argument("no attempt"))?;
+        let attempt = request
+            .attempt
+            .ok_or_else(|| Status::invalid_argument("revoke request has no attempt"))?;
         let attempt = AttemptId::from(attempt);
         let call = self.calls.next();
         let (sender, receiver) = oneshot::channel();
@@ -221,7 +223,7 @@
     Status::unavailable(error.to_string())
 }
 
-/// Tells the core when a gateway's call is gone.
+/// Notifies the core on drop that a gateway's call was closed.
 struct Guard {
     call: CallId,
     calls: Arc<Calls>,
@@ -236,7 +238,7 @@
     }
 }
 
-/// The replies on one call.
+/// Stream of the replies on one call.
 pub struct Replies {
     receiver: mpsc::UnboundedReceiver<Result<v1::StageReply, Status>>,
     #[allow(dead_code, reason = "dropped with the stream")]
--- a/src/agent/tickets.rs
+++ b/src/agent/tickets.rs
@@ -1,4 +1,5 @@
-//! The home of tickets: grants one run of a request, once, and keeps its answer until the expiry.
+//! Tickets issued by this agent: each is granted to one run of a request, and the answer is kept
+//! until the ticket expires.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Mutex, PoisonError};
@@ -7,11 +8,12 @@
 use crate::message::{Incarnation, RunId};
 use crate::wire::v1;
 
-/// Tickets that are kept at once; at the bound no new one is opened.
+/// Maximum number of tickets; none is opened beyond it.
 const MAX_TICKETS: usize = 65_536;
-/// Bytes of answers that are kept; beyond that an answer is not kept, and a repeat hears "may have run".
+/// Maximum total size of kept answers, in bytes. Beyond it an answer is not kept, and a repeat of
+/// its request is refused with `ran: unknown`.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
-/// The longest time that a ticket is valid.
+/// Maximum validity of a ticket.
 const MAX_VALID: Duration = Duration::from_secs(3_600);
 
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -28,7 +30,7 @@
     answer_bytes: usize,
 }
 
-/// The tickets of one life of an agent.
+/// The tickets of one incarnation of an agent.
 #[derive(Debug)]
 pub struct Tickets {
     home: Incarnation,
@@ -36,7 +38,7 @@
 }
 
 impl Tickets {
-    /// A home without tickets.
+    /// Creates an empty set of tickets issued by the incarnation `home`.
     pub fn new(home: Incarnation) -> Self {
         Self { home, book: Mutex::default() }
     }
@@ -47,7 +49,7 @@
         act(&mut book)
     }
 
-    /// Opens a ticket; number 0 says that the home is full.
+    /// Opens a ticket; number 0 means that the maximum number of tickets is reached.
     pub fn open(&self, request: &v1::OpenTicketRequest) -> v1::OpenTicketReply {
         let now = Instant::now();
         let valid = Duration::from_millis(request.valid_ms).min(MAX_VALID);
@@ -55,7 +57,7 @@
         v1::OpenTicketReply { ticket, home: self.home.0 }
     }
 
-    /// Grants a run, unless another one has begun.
+    /// Grants a ticket to a run, unless another run has begun.
     pub fn claim(&self, request: &v1::ClaimRequest) -> v1::ClaimReply {
         let granted = request.home == self.home.0
             && request.run.is_some_and(|run| {
@@ -65,7 +67,7 @@
         v1::ClaimReply { grant: grant.into() }
     }
 
-    /// What became of a ticket.
+    /// Returns the state of a ticket.
     pub fn read(&self, request: &v1::ReadTicketRequest) -> v1::ReadTicketReply {
         if request.home != self.home.0 {
             return v1::ReadTicketReply::default();
@@ -73,7 +75,7 @@
         self.with_book(Instant::now(), |book| book.read(request.ticket))
     }
 
-    /// Takes in how a run ended.
+    /// Records the end of a run.
     pub fn finish(&self, request: v1::FinishTicketRequest) -> v1::FinishTicketReply {
         if let (true, Some(run)) = (request.home == self.home.0, request.run) {
             self.with_book(Instant::now(), |book| book.finish(request, run.into()));
@@ -114,7 +116,7 @@
                 *state = State::Begun(run);
                 true
             }
-            // One run claims again only with a proof that its attempt before did not run.
+            // A run claims again only after a proof that its previous attempt did not run.
             State::Begun(begun) => *begun == run,
             State::Done { .. } => false,
         }
--- a/src/gateway/core.rs
+++ b/src/gateway/core.rs
@@ -1,7 +1,7 @@
-//! The gateway's decisions, without I/O or clock: events in, actions out.
+//! Decision logic of the gateway, without I/O or clock: maps events to actions.
 //!
-//! A result is adopted once, into the slot of (request, stage); a reply that matches no open call is
-//! dropped and counted. A second attempt of a stage needs a proof that the first did not run, or a
+//! A result is adopted once per request and stage; a reply that matches no open call is dropped and
+//! counted as stray. A second attempt of a stage requires a proof that the first did not run, or a
 //! stage that may be repeated.
 
 use std::collections::{BTreeSet, HashMap};
@@ -34,19 +34,20 @@
 use crate::refusal::{Reason, Refusal};
 use crate::view::View;
 
-/// When to come back after a refusal where nothing better is known.
+/// Default retry delay of a refusal, for refusals without an estimate.
 pub(super) const RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// An agent that has not said a word of an attempt after this time is asked to give it back.
+/// An attempt is revoked if its agent has not replied within this time.
 const SILENCE: Duration = Duration::from_millis(150);
 
-/// Endpoints that were not used for long are looked for this often.
+/// Interval between removals of the state of unused endpoints.
 const FORGET_EVERY: Duration = Duration::from_secs(60);
 
-/// An agent that was not heard of for this time is greeted before it gets what may not be repeated.
+/// If an agent has not replied within this time, a non-repeatable stage is first sent to it as a
+/// probe, without an incarnation, which no agent runs.
 const GREET_AFTER: Duration = Duration::from_millis(200);
 
-/// What a timer is for.
+/// Purpose of a timer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     Deadline,
@@ -56,7 +57,7 @@
     Resume(AttemptId),
 }
 
-/// The state of one gateway.
+/// Core of one gateway: its state and its decisions.
 #[derive(Debug)]
 pub struct GatewayCore {
     pub(super) setup: Setup,
@@ -109,7 +110,7 @@
 }
 
 impl GatewayCore {
-    /// A gateway without a configuration.
+    /// Creates a gateway without a configuration.
     pub fn new(setup: Setup) -> Self {
         Self {
             rng: StdRng::seed_from_u64(setup.seed),
@@ -133,42 +134,42 @@
         }
     }
 
-    /// What the requests in flight still need.
+    /// Demand of the requests in flight on the pools of their remaining stages.
     pub const fn demand(&self) -> &Demand {
         &self.demand
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether it takes no new requests.
+    /// Whether the gateway refuses new requests because it is draining.
     pub const fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// The configuration in force.
+    /// The configuration in force, if any.
     pub const fn view(&self) -> Option<&Arc<View>> {
         self.view.as_ref()
     }
 
-    /// What it knows of the endpoints.
+    /// State of the endpoints as this gateway sees it.
     pub const fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// Retries that could be made now.
+    /// Number of retries that the retry budget allows now.
     pub const fn retries_left(&self) -> f64 {
         self.budget.left()
     }
 
-    /// Ended requests that are still known, the newest first.
+    /// Records of up to `count` ended requests, newest first.
     pub fn recent(&self, count: usize) -> impl Iterator<Item = &Arc<Record>> {
         self.records.recent(count)
     }
 
-    /// The record of a request of this incarnation, in flight or ended.
+    /// Record of a request of this incarnation, in flight or ended.
     pub fn record(&self, id: &RequestId) -> Option<Arc<Record>> {
         if id.incarnation != self.setup.incarnation {
             return None;
@@ -258,7 +259,7 @@
         Ok((view, admitted))
     }
 
-    /// Sends the current stage to an endpoint, or gives the request up.
+    /// Sends the current stage to an endpoint, or refuses the request if there is none.
     pub(super) fn dispatch(&mut self, caller: u64, now: Timestamp) {
         let Some(request) = self.requests.get(&caller) else {
             return;
@@ -311,8 +312,9 @@
         self.actions.push(Action::Run { endpoint, call, run });
     }
 
-    /// The agent's life to name. Where the stage may not be repeated and the agent was not heard of
-    /// lately, none: such a greeting can't run, so if the agent is gone, nothing is in doubt.
+    /// Incarnation of the agent to address an attempt to. Returns `UNKNOWN` if the stage may not be
+    /// repeated and the agent has not replied recently: no agent runs such a probe, so the outcome
+    /// is certain even if the agent is unreachable.
     fn incarnation_for(&self, caller: u64, endpoint: &str, now: Timestamp) -> Incarnation {
         let Some(state) = self.fleet.get(endpoint) else {
             return Incarnation::UNKNOWN;
@@ -330,7 +332,7 @@
         call
     }
 
-    /// The one place where a stage's result becomes the request's.
+    /// Adopts a stage's result into its request. Results are adopted nowhere else.
     pub(super) fn adopt(&mut self, caller: u64, digest: u64, service: Duration, now: Timestamp) {
         let Some(attempt) = self.close_attempt(caller, now) else {
             return;
@@ -372,7 +374,7 @@
         self.actions.push(Action::Answer { caller, answer });
     }
 
-    /// Takes the open attempt out; replies to it are strays from here on.
+    /// Closes the open attempt; later replies to it are counted as stray.
     pub(super) fn close_attempt(&mut self, caller: u64, now: Timestamp) -> Option<Attempt> {
         let attempt = self.requests.get_mut(&caller)?.attempt.take()?;
         self.attempts.remove(&attempt.id);
@@ -409,7 +411,7 @@
         self.refuse(caller, reason, retry_after, now);
     }
 
-    /// Gives a request up, at once.
+    /// Ends a request with a refusal, cancelling its open attempt.
     pub(super) fn refuse(
         &mut self,
         caller: u64,
@@ -418,7 +420,7 @@
         now: Timestamp,
     ) {
         if let Some(attempt) = self.close_attempt(caller, now) {
-            // What was sent and not proved otherwise may have run.
+            // The attempt was sent and is not proved not to have run.
             if let Some(request) = self.requests.get_mut(&caller) {
                 request.stage_begun = true;
             }
@@ -428,7 +430,7 @@
         let Some(mut request) = self.remove(caller) else {
             return;
         };
-        // Under a used ticket, another run may have run what this one has not.
+        // If the ticket is used, another run of the request may have executed stages.
         let used = matches!(reason, Reason::TicketUsed);
         let ran = if used { Ran::Unknown } else { request.ran() };
         let violation = Violation::FalseNotRun { request: request.record.id.to_string() };
--- a/src/gateway/event.rs
+++ b/src/gateway/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a gateway's core, and what it has its shell do.
+//! Events that the gateway core handles, and actions that it asks its shell to carry out.
 
 use std::sync::Arc;
 
@@ -10,181 +10,181 @@
 use crate::refusal::Refusal;
 use crate::view::View;
 
-/// What a gateway is made with.
+/// Parameters with which a gateway core is created.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// The host's name in the settings.
+    /// Name of the host, from the settings.
     pub host: Arc<str>,
-    /// This life of the process.
+    /// Incarnation of this gateway process.
     pub incarnation: Incarnation,
-    /// Requests in flight at most.
+    /// Maximum number of requests in flight.
     pub in_flight: usize,
-    /// Requests whose records are kept.
+    /// Number of ended requests whose records are kept.
     pub records: usize,
-    /// Bytes of one result at most.
+    /// Maximum size of one result, in bytes.
     pub result_bytes: usize,
-    /// The seed of the random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// What happens to a gateway.
+/// An input of the gateway core.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// A caller asks; `caller` names where the answer goes.
+    /// A caller submitted a request.
     Submit {
-        /// Chosen by the shell.
+        /// Number of the caller, assigned by the shell; the answer is addressed to it.
         caller: u64,
-        /// What is asked.
+        /// The submitted request.
         submission: Submission,
     },
-    /// The caller went away.
+    /// The caller disconnected before its final answer.
     CallerGone {
-        /// Who.
+        /// Number of the caller.
         caller: u64,
     },
-    /// An agent replies.
+    /// An agent sent a reply on an open call.
     Reply {
-        /// On this call.
+        /// The call on which the reply arrived.
         call: u64,
-        /// Of this attempt.
+        /// The attempt that the reply is about.
         attempt: AttemptId,
-        /// The agent's incarnation.
+        /// Incarnation of the agent.
         from: Incarnation,
-        /// Its load.
+        /// Current load of the agent, if reported.
         load: Option<Load>,
-        /// What it says.
+        /// The reply.
         reply: Reply,
     },
     /// A call ended without a final reply.
     Lost {
         /// The call.
         call: u64,
-        /// Its attempt.
+        /// The attempt that the call carried.
         attempt: AttemptId,
     },
-    /// A call could not be made; nothing was sent.
+    /// A call could not be opened; nothing was sent.
     Unsent {
         /// The call.
         call: u64,
-        /// Its attempt.
+        /// The attempt that the call was opened for.
         attempt: AttemptId,
     },
-    /// A revocation was answered.
+    /// The outcome of a revocation is known.
     Revoked {
-        /// The attempt.
+        /// The revoked attempt.
         attempt: AttemptId,
-        /// What became of it.
+        /// Outcome of the revocation.
         outcome: Revocation,
     },
-    /// A configuration is in force.
+    /// A new configuration is in force.
     Configure {
-        /// The configuration.
+        /// The configuration, compiled for lookups.
         view: Arc<View>,
     },
-    /// Gateways that share the limits.
+    /// The number of gateways that share the rate limits changed.
     Gateways {
-        /// How many.
+        /// Number of gateways.
         count: usize,
     },
-    /// The process was told to stop.
+    /// The process received a request to stop.
     Drain,
-    /// Time has passed.
+    /// Time has passed; timers that are due fire.
     Tick,
 }
 
 /// The final answer to a caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
-    /// The whole result.
+    /// The request completed.
     Complete {
-        /// The request.
+        /// Identity of the request.
         request: RequestId,
-        /// The last stage's result.
+        /// Complete result of the last stage.
         result: Bytes,
-        /// xxh3-64 of it.
+        /// xxh3-64 digest of the result.
         digest: u64,
     },
-    /// A refusal.
+    /// The request was refused.
     Refused {
-        /// The request, where it got an identity.
+        /// Identity of the request.
         request: RequestId,
-        /// Why, what ran, when to come back.
+        /// Reason, extent of execution and retry delay.
         refusal: Refusal,
     },
 }
 
-/// What the gateway's shell must do.
+/// An action for the gateway's shell.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Call an agent.
+    /// Open a call to an agent to run or resume an attempt.
     Run {
-        /// Where.
+        /// Endpoint of the agent.
         endpoint: Arc<Endpoint>,
-        /// The new call.
+        /// Number of the new call.
         call: u64,
-        /// What to ask.
+        /// Content of the run request.
         run: Run,
     },
-    /// Take an attempt back.
+    /// Revoke an attempt if it has not begun, and report the outcome.
     Revoke {
-        /// Where.
+        /// Endpoint of the agent.
         endpoint: Arc<Endpoint>,
-        /// The attempt.
+        /// The attempt to revoke.
         attempt: AttemptId,
-        /// The agent's incarnation that was meant.
+        /// Incarnation of the agent that the attempt was sent to.
         agent: Incarnation,
     },
-    /// Tell an agent that nobody waits for an attempt.
+    /// Cancel an attempt, begun or not; its result is no longer needed.
     Cancel {
-        /// Where.
+        /// Endpoint of the agent.
         endpoint: Arc<Endpoint>,
-        /// The attempt.
+        /// The attempt to cancel.
         attempt: AttemptId,
-        /// The agent's incarnation that was meant.
+        /// Incarnation of the agent that the attempt was sent to.
         agent: Incarnation,
     },
-    /// Let go of a call.
+    /// Drop an open call.
     Hangup {
         /// The call.
         call: u64,
     },
-    /// Pass on a piece of the last stage's result.
+    /// Forward a chunk of the last stage's result to a streaming caller.
     Chunk {
-        /// To whom.
+        /// Number of the caller.
         caller: u64,
-        /// Where the piece starts.
+        /// Offset of the chunk in the result, in bytes.
         offset: u64,
-        /// The piece.
+        /// Bytes of the chunk.
         data: Bytes,
     },
-    /// What the caller has seen so far is void; the result starts anew.
+    /// Invalidate all chunks sent to the caller; the result restarts at offset 0.
     Reset {
-        /// Who.
+        /// Number of the caller.
         caller: u64,
     },
-    /// The final answer.
+    /// Send the final answer to a caller.
     Answer {
-        /// To whom.
+        /// Number of the caller.
         caller: u64,
         /// The answer.
         answer: Answer,
     },
-    /// An endpoint's state changed.
+    /// Record a state change of an endpoint in the audit trail.
     EndpointChanged {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: String,
-        /// How.
+        /// The new state.
         change: EndpointChange,
     },
 }
 
-/// A change in what a gateway thinks of an endpoint.
+/// A change of an endpoint's state as this gateway sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointChange {
-    /// It failed or can't be reached.
+    /// The endpoint failed or is unreachable.
     Suspected,
-    /// It was heard of again.
+    /// A suspected endpoint replied again.
     Back,
-    /// It takes no new work.
+    /// The endpoint is leaving and accepts no new work.
     Leaving,
 }
--- a/src/gateway/http.rs
+++ b/src/gateway/http.rs
@@ -1,4 +1,4 @@
-//! The callers' listener: requests in, whole answers or true refusals out.
+//! HTTP API for callers: accepts requests and returns complete results or refusals.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,31 +34,31 @@
 use crate::refusal::{Reason, Refusal};
 use crate::settings::Settings;
 
-/// Labels that one request may carry.
+/// Maximum number of labels of one request.
 const MAX_LABELS: usize = 64;
-/// How long a ticket is valid where its caller doesn't say.
+/// Validity of a ticket.
 const TICKET_VALID: Duration = Duration::from_secs(300);
-/// Agents that are asked to be a ticket's home before it is given up.
+/// Number of agents that are asked to open a ticket before the request for it is refused.
 const HOMES_ASKED: usize = 3;
 const REQUEST_HEADER: HeaderName = HeaderName::from_static("x-stackmast-request");
 const DIGEST_HEADER: HeaderName = HeaderName::from_static("x-stackmast-digest");
 
-/// What the handlers share.
+/// State shared by the handlers.
 #[derive(Clone)]
 pub struct CallerState {
-    /// The gateway's core.
+    /// Handle of the gateway core.
     pub core: Handle<GatewayCore>,
-    /// The callers that wait.
+    /// The waiting callers.
     pub callers: Arc<Callers>,
-    /// Connections to agents, for tickets.
+    /// Connections to agents, used for tickets.
     pub channels: Arc<Channels>,
-    /// The process's settings.
+    /// Settings of the process.
     pub settings: Arc<Settings>,
-    /// Where calls to other processes run.
+    /// Runtime on which calls to other processes run.
     pub runtime: tokio::runtime::Handle,
 }
 
-/// A caller's body.
+/// Body of a caller's request.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct CallerRequest {
@@ -74,7 +74,7 @@
     ticket: Option<String>,
 }
 
-/// A refusal as callers get it.
+/// Problem document of a refusal, as sent to callers.
 #[derive(Debug, Serialize)]
 pub struct RefusalProblem<'a> {
     r#type: String,
@@ -87,7 +87,7 @@
     retry_after_ms: u64,
 }
 
-/// Listens for callers.
+/// Starts the listener for callers.
 pub fn listen(state: CallerState, address: SocketAddr) -> Result<Listener, ListenError> {
     let threads = state.settings.threads;
     let server = App::new()
@@ -135,7 +135,7 @@
     }
 }
 
-/// A few agents, each time others, that this gateway knows to serve.
+/// A random selection of agents of endpoints that are in use.
 fn possible_homes(core: &GatewayCore) -> Vec<SocketAddr> {
     let Some(view) = core.view() else {
         return Vec::new();
@@ -203,7 +203,7 @@
     Err(BadInput::OutOfRange { field: "deadline_ms", allowed })
 }
 
-/// The claim of a ticket whose request has not begun; else the final answer.
+/// Returns the claim of a ticket whose request has not begun, otherwise the final response.
 async fn check_ticket(state: &CallerState, text: &str) -> Result<Claim, Box<WebResponse>> {
     let Ok(ticket) = Ticket::verify(text, &state.settings.ticket_key) else {
         return Err(Box::new(refused("", &ticket_refusal(Reason::TicketVoid))));
@@ -227,7 +227,7 @@
     Refusal { ran: Ran::Unknown, ..Refusal::not_run(reason, retry_after) }
 }
 
-/// Tells the core when a caller goes away before its final answer.
+/// Unregisters a caller on drop, and notifies the core in case the request is still in flight.
 pub(super) struct CallerGuard {
     caller: u64,
     state: CallerState,
@@ -270,8 +270,8 @@
             Some(CallerMessage::Answer(answer)) => {
                 if let Some(claim) = claim {
                     let told = finish_ticket(state, claim, &answer);
-                    // A repeat may come right behind an answer: its home must know by then. A
-                    // refusal waits for nothing.
+                    // The caller may repeat the request right after the answer, so the issuing
+                    // agent must have the result first. A refusal need not wait.
                     if matches!(answer, Answer::Complete { .. }) {
                         told.await.ok();
                     }
@@ -287,7 +287,8 @@
     }
 }
 
-/// Tells a ticket's home how the run ended; ends once the home knows, or can't be told in time.
+/// Reports the end of a run to the ticket's issuing agent; the task ends when the report is
+/// acknowledged or times out.
 pub(super) fn finish_ticket(
     state: &CallerState,
     claim: Claim,
@@ -337,7 +338,7 @@
     response
 }
 
-/// The body of a refusal.
+/// Builds the problem document of a refusal.
 pub(super) fn refusal_problem<'a>(request: &str, refusal: &'a Refusal) -> RefusalProblem<'a> {
     RefusalProblem {
         r#type: http::problem_type(refusal.reason.as_str()),
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,4 +1,5 @@
-//! The gateway: takes a caller's request, decides, runs the pipeline's stages, returns the whole answer.
+//! The gateway: accepts requests from callers, schedules the pipeline's stages on endpoints and
+//! returns the complete result or a refusal.
 
 pub mod core;
 pub mod event;
--- a/src/gateway/recovery.rs
+++ b/src/gateway/recovery.rs
@@ -1,6 +1,7 @@
-//! What follows when an attempt does not end well: resume it, take it back, go elsewhere, or say so.
+//! Recovery of attempts that fail, stall or wait too long: resumes or revokes them, retries the
+//! stage at another endpoint, or refuses the request.
 //!
-//! A second attempt needs a proof that the first did not run, or a stage that may be repeated.
+//! A second attempt requires a proof that the first did not run, or a stage that may be repeated.
 
 use std::time::Duration;
 
@@ -13,27 +14,28 @@
 use crate::policy::route::{Question, choose};
 use crate::refusal::Reason;
 
-/// Calls resumed in vain before an attempt of a repeatable stage is left for another endpoint.
+/// Number of resumes without a reply before an attempt of a repeatable stage is abandoned.
 const RESUMES_BEFORE_ELSEWHERE: u32 = 2;
-/// The first wait before a lost call is resumed; each further one is twice as long.
+/// Initial delay before a lost call is resumed; it doubles with each further resume.
 const RESUME_FIRST: Duration = Duration::from_millis(20);
-/// The longest wait before a lost call is resumed.
+/// Maximum delay before a lost call is resumed.
 const RESUME_LONGEST: Duration = Duration::from_millis(500);
-/// Stands for a call that is lost and not yet resumed.
+/// Placeholder for a call that is lost and not yet resumed; calls are numbered from 1.
 const NO_CALL: u64 = 0;
-/// A waiting attempt moves where another endpoint is predicted to need at most this share of the time left.
+/// A waiting attempt is moved if another endpoint is predicted to need at most this share of the
+/// remaining time.
 const WELL_BEFORE: f64 = 0.5;
-/// A waiting attempt is not looked at again within this time.
+/// A waiting attempt is not checked again if the next check would be due within this time.
 const SHORTEST_PATIENCE: Duration = Duration::from_millis(20);
-/// A begun attempt is stalled after this many times the time that such a stage usually takes.
+/// A begun attempt counts as stalled after this multiple of the stage's estimated service time.
 const STALL_FACTOR: u32 = 3;
-/// No attempt is stalled before this time.
+/// Minimum stall limit, unless the share of the remaining time is less.
 const STALL_SHORTEST: Duration = Duration::from_millis(100);
-/// A begun attempt is stalled after this share of the time left, at the latest.
+/// Maximum stall limit, as a share of the remaining time.
 const STALL_SHARE: f64 = 0.4;
 
 impl GatewayCore {
-    /// The attempt is proved not to have run: the stage may go elsewhere.
+    /// Handles an attempt that is proved not to have run: retries the stage if possible.
     pub(super) fn not_run(
         &mut self,
         caller: u64,
@@ -76,8 +78,8 @@
         let Some(request) = self.requests.get(&caller) else {
             return;
         };
-        // What was taken back, or refused for leaving, was this fleet's own choice; no endpoint's
-        // time went into it, so it costs no retry.
+        // Revocations and refusals by leaving agents are the fleet's own decisions and used no
+        // endpoint time, so they are not charged to the retry budget.
         let is_free = matches!(reason, AgentReason::Leaving | AgentReason::Revoked);
         if !is_free && !self.budget.spend() {
             let stage = request.stage_view().stage.name.clone();
@@ -92,7 +94,8 @@
         self.dispatch(caller, now);
     }
 
-    /// The outcome of the attempt can't be had: run again what may be repeated, else say so.
+    /// Handles an attempt whose outcome can't be determined: retries a repeatable stage, otherwise
+    /// refuses the request.
     pub(super) fn outcome_unknown(&mut self, caller: u64, reason: AgentReason, now: Timestamp) {
         let Some(attempt) = self.close_attempt(caller, now) else {
             return;
@@ -141,7 +144,7 @@
         self.not_run(caller, AgentReason::AgentUnreachable, RETRY_AFTER, false, now);
     }
 
-    /// The call is gone; the attempt may go on at the agent, so it is asked for again.
+    /// Handles a lost call: the attempt may still run at the agent, so schedules a resume.
     pub(super) fn lose(&mut self, caller: u64, now: Timestamp) {
         if self.is_greeting(caller) {
             return self.not_run(caller, AgentReason::AgentUnreachable, RETRY_AFTER, false, now);
@@ -183,8 +186,8 @@
         self.actions.push(Action::Run { endpoint, call, run });
     }
 
-    /// The attempt has waited its share of the time: it is taken back where another endpoint is
-    /// predicted to be done well before the deadline; else it keeps its place in the queue.
+    /// Handles an attempt that has waited its share of the time: revokes it if another endpoint is
+    /// predicted to finish well before the deadline; otherwise it keeps its place in the queue.
     pub(super) fn lose_patience(&mut self, caller: u64, now: Timestamp) {
         let Some(request) = self.requests.get(&caller) else {
             return;
@@ -214,7 +217,7 @@
         }
     }
 
-    /// Asks the agent to give a waiting attempt back.
+    /// Asks the agent to revoke a waiting attempt.
     pub(super) fn take_back(&mut self, caller: u64) {
         let Some(attempt) = self.requests.get_mut(&caller).and_then(|r| r.attempt.as_mut()) else {
             return;
@@ -248,14 +251,14 @@
         }
     }
 
-    /// Whether the open attempt named no life of its agent: none begins it, so it can't have run.
+    /// Whether the open attempt is a probe: it names no incarnation, so no agent begins it.
     fn is_greeting(&self, caller: u64) -> bool {
         let attempt = self.requests.get(&caller).and_then(|r| r.attempt.as_ref());
         attempt.is_some_and(|a| a.agent == Incarnation::UNKNOWN)
     }
 
-    /// Neither the attempt nor its revocation is answered: what may be repeated goes elsewhere; the
-    /// rest waits for the agent's word, which alone can say what became of it.
+    /// Handles an agent that answers neither an attempt nor its revocation: retries a repeatable
+    /// stage elsewhere. Other stages wait, because only the agent knows whether the attempt ran.
     fn unreachable(&mut self, caller: u64, now: Timestamp) {
         if self.is_greeting(caller) {
             return self.not_run(caller, AgentReason::AgentUnreachable, RETRY_AFTER, false, now);
@@ -285,8 +288,8 @@
         attempt.is_some_and(|a| a.heard_at.is_none())
     }
 
-    /// How long a begun attempt may be silent: far longer than such a stage takes, but short enough
-    /// that another endpoint can still answer in time.
+    /// How long a begun attempt may go without a reply: well above the stage's service time, but
+    /// short enough for another endpoint to finish before the deadline.
     pub(super) fn stall_limit(&self, caller: u64, now: Timestamp) -> Duration {
         let Some(request) = self.requests.get(&caller) else {
             return STALL_SHORTEST;
@@ -299,7 +302,7 @@
         (usual * STALL_FACTOR).max(STALL_SHORTEST).min(left)
     }
 
-    /// Leaves a stalled attempt of a repeatable stage, or looks again later.
+    /// Abandons a stalled attempt of a repeatable stage, or schedules the next check.
     pub(super) fn check_progress(&mut self, caller: u64, now: Timestamp) {
         let limit = self.stall_limit(caller, now);
         let Some(request) = self.requests.get_mut(&caller) else {
--- a/src/gateway/replies.rs
+++ b/src/gateway/replies.rs
@@ -1,4 +1,4 @@
-//! Replies of agents: matched with the open call, or dropped and counted as strays.
+//! Handling of agents' replies: matches them with the open call, or drops and counts them as stray.
 
 use std::time::Duration;
 
@@ -93,7 +93,7 @@
         let have = attempt.output.len();
         let fresh = match attempt.output.append(offset, data, bound) {
             Ok(fresh) => fresh,
-            // A piece is missing: the call is asked for again from where the result ends.
+            // A chunk is missing: resume from the end of the received result.
             Err(AppendError::Gap { .. }) => return self.lose(caller, now),
             Err(AppendError::TooLong { .. }) => {
                 return self.outcome_unknown(caller, AgentReason::EndpointMisbehaved, now);
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! The state of one request in a gateway, and of its open attempt.
+//! State of one request in a gateway, and of its open attempt.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,61 +14,61 @@
 use crate::result::ResultBuffer;
 use crate::view::{PipelineView, StageView, View};
 
-/// A waiting attempt is taken back at the latest this share of the deadline before it.
+/// A waiting attempt is checked for revocation while at least this share of its time is left.
 const LAST_REVOKE_SHARE: f64 = 0.1;
 
-/// What a caller asks for, checked for form.
+/// A caller's request after syntax checks.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Submission {
-    /// The pipeline's name.
+    /// Name of the pipeline.
     pub pipeline: String,
-    /// The organisation's name.
+    /// Name of the organisation.
     pub organisation: String,
-    /// The request's own labels.
+    /// Labels of the request.
     pub labels: Labels,
-    /// The first stage's input.
+    /// Input of the first stage.
     pub input: Bytes,
-    /// Time until the caller stops waiting; the pipeline's own where none is given.
+    /// Time until the caller stops waiting; `None` for the pipeline's default.
     pub deadline: Option<Duration>,
-    /// Whether stages may be run again.
+    /// Whether the caller allows stages to be run again.
     pub may_repeat: bool,
-    /// Whether pieces of the last stage's result are wanted as they come.
+    /// Whether the last stage's result is streamed to the caller.
     pub stream: bool,
-    /// The claim of a request under a ticket.
+    /// Claim of the ticket that the request carries.
     pub claim: Option<Claim>,
 }
 
-/// How far an attempt is, as far as the gateway knows.
+/// Progress of an attempt, as reported to the gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
-    /// It was sent; it may wait in the agent's queue.
+    /// The attempt was sent; it may be in the agent's queue.
     Sent,
-    /// It was sent and is being taken back.
+    /// The attempt was sent and a revocation is pending.
     Revoking,
-    /// The agent said that it was handed over.
+    /// The agent reported that the attempt was handed over to the endpoint.
     Begun,
 }
 
 /// The open attempt of a request's current stage.
 #[derive(Debug)]
 pub struct Attempt {
-    /// Its identity.
+    /// Identity of the attempt.
     pub id: AttemptId,
-    /// Where it was sent.
+    /// Endpoint that the attempt was sent to.
     pub endpoint: Arc<Endpoint>,
-    /// The agent's incarnation that it named.
+    /// Incarnation of the agent that the attempt is addressed to.
     pub agent: Incarnation,
-    /// The call on which replies come; others are strays.
+    /// The open call; replies on other calls are stray.
     pub call: u64,
-    /// How far it is.
+    /// Progress of the attempt.
     pub progress: Progress,
-    /// When it was sent first.
+    /// Time of the first send.
     pub sent_at: Timestamp,
-    /// When the agent last spoke of it; `None` before its first word.
+    /// Time of the agent's last reply; `None` before the first.
     pub heard_at: Option<Timestamp>,
-    /// The result so far.
+    /// Result received so far.
     pub output: ResultBuffer,
-    /// Times that a lost call was resumed without a word from the agent since.
+    /// Number of lost calls since the agent's last reply.
     pub resumes: u32,
     /// Whether an earlier call of this attempt may have reached the agent.
     pub was_sent: bool,
@@ -77,62 +77,62 @@
 /// A request in flight.
 #[derive(Debug)]
 pub struct Request {
-    /// What the caller asks for.
+    /// The submitted request.
     pub submission: Submission,
-    /// The configuration that it is decided under; later ones don't change its path.
+    /// Configuration at admission; later configurations don't affect the request.
     pub view: Arc<View>,
-    /// Its pipeline.
+    /// Pipeline of the request.
     pub pipeline: Arc<PipelineView>,
-    /// Positions of the rules that match it.
+    /// Indices of the rules that match the request.
     pub rules: Vec<usize>,
-    /// The pools of its stages, by their keys.
+    /// Keys of the pools of all stages.
     pub pools: Vec<u64>,
-    /// Its priority.
+    /// Priority of the request.
     pub priority: u8,
-    /// When its caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: Timestamp,
-    /// The stage that it is in.
+    /// Index of the current stage.
     pub stage: usize,
-    /// The input of that stage.
+    /// Input of the current stage.
     pub input: Bytes,
-    /// The open attempt.
+    /// Open attempt of the current stage, if any.
     pub attempt: Option<Attempt>,
-    /// Endpoints that the stage was sent to before.
+    /// Endpoints that earlier attempts of the current stage were sent to.
     pub tried: Vec<String>,
-    /// Whether an earlier, closed attempt of this stage may have run.
+    /// Whether an earlier, closed attempt of the current stage may have run.
     pub stage_begun: bool,
-    /// What the last agent that gave up said.
+    /// Reason of the last failed attempt of the current stage.
     pub last_reason: Option<AgentReason>,
-    /// When that agent said to come back.
+    /// Retry delay that came with that reason.
     pub retry_after: Duration,
-    /// Whether the caller has seen pieces of the open attempt.
+    /// Whether chunks of the open attempt were sent to the caller.
     pub streamed: bool,
-    /// What happened to it.
+    /// Record of the steps of the request.
     pub record: Record,
 }
 
 impl Request {
-    /// The stage that it is in.
+    /// The current stage.
     pub fn stage_view(&self) -> &StageView {
         &self.pipeline.stages[self.stage]
     }
 
-    /// Whether it is in its last stage.
+    /// Whether the current stage is the last.
     pub fn is_last_stage(&self) -> bool {
         self.stage + 1 == self.pipeline.stages.len()
     }
 
-    /// Whether the stage may be run again when the outcome of an attempt is unknown.
+    /// Whether the current stage may be run again after an attempt with unknown outcome.
     pub fn may_repeat_stage(&self) -> bool {
         self.submission.may_repeat && self.stage_view().stage.may_repeat
     }
 
-    /// The class of its stage's input.
+    /// Size class of the current stage's input.
     pub fn size(&self) -> SizeClass {
         SizeClass::of(self.input.len())
     }
 
-    /// How much of it ran, for a refusal now.
+    /// How much of the request has run, as reported if it is refused now.
     pub fn ran(&self) -> Ran {
         if self.stage_begun {
             Ran::Unknown
@@ -143,7 +143,7 @@
         }
     }
 
-    /// The stages that ran whole.
+    /// Names of the completed stages.
     pub fn stages_run(&self) -> Vec<String> {
         self.pipeline.stages[..self.stage].iter().map(|s| s.stage.name.clone()).collect()
     }
@@ -240,7 +240,8 @@
     }
 }
 
-/// When a waiting attempt is taken back: after its share of the time left, and in time for the answer.
+/// Time at which a waiting attempt is next checked for revocation: after the configured share of
+/// the remaining time, and early enough for the revocation to be answered before the deadline.
 pub(super) fn patience(request: &Request, now: Timestamp) -> Timestamp {
     let left = request.deadline.saturating_sub(now);
     let share = request.view.config.policy.patience.min(1.0 - LAST_REVOKE_SHARE);
--- a/src/gateway/shell.rs
+++ b/src/gateway/shell.rs
@@ -1,4 +1,4 @@
-//! The gateway's sockets towards agents, and the way of answers back to callers.
+//! I/O of the gateway: calls to agents, and delivery of answers to waiting callers.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,26 +20,26 @@
 use crate::wire::v1::agent_client::AgentClient;
 use crate::wire::{MAX_MESSAGE_LEN, reply_from_wire, run_to_wire, v1};
 
-/// How long an agent may take to answer a revocation.
+/// Timeout of a revocation.
 const REVOKE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// What goes to a caller.
+/// A message to a waiting caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallerMessage {
-    /// A piece of the result.
+    /// A chunk of the result.
     Chunk {
-        /// Where it starts.
+        /// Offset of the chunk in the result, in bytes.
         offset: u64,
-        /// The piece.
+        /// Bytes of the chunk.
         data: Bytes,
     },
-    /// What came so far is void.
+    /// All earlier chunks are invalid; the result restarts at offset 0.
     Reset,
     /// The final answer.
     Answer(Answer),
 }
 
-/// The callers that wait, by the number under which the core knows them.
+/// The waiting callers, keyed by the number that the core uses for them.
 #[derive(Debug, Default)]
 pub struct Callers {
     next: AtomicU64,
@@ -47,7 +47,7 @@
 }
 
 impl Callers {
-    /// Lets a caller wait; messages for it come out of the receiver.
+    /// Registers a caller; returns its number and the receiver of its messages.
     pub fn enter(&self) -> (u64, mpsc::UnboundedReceiver<CallerMessage>) {
         let caller = self.next.fetch_add(1, Ordering::Relaxed) + 1;
         let (sender, receiver) = mpsc::unbounded_channel();
@@ -55,17 +55,17 @@
         (caller, receiver)
     }
 
-    /// Callers that have not got their final answer.
+    /// Number of registered callers.
     pub fn len(&self) -> usize {
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner).len()
     }
 
-    /// Whether no caller waits.
+    /// Whether no caller is registered.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// A caller went away.
+    /// Unregisters a caller.
     pub fn leave(&self, caller: u64) {
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner).remove(&caller);
     }
@@ -78,7 +78,7 @@
     }
 }
 
-/// Carries out the gateway core's actions.
+/// Executes the actions of the gateway core.
 pub struct GatewayShell {
     core: Handle<GatewayCore>,
     callers: Arc<Callers>,
@@ -88,7 +88,7 @@
 }
 
 impl GatewayShell {
-    /// A shell without calls.
+    /// Creates a shell without open calls.
     pub fn new(
         core: Handle<GatewayCore>,
         callers: Arc<Callers>,
@@ -157,7 +157,8 @@
     }
 }
 
-/// Makes a call and passes on its replies; `None` when it was lost after something may have been sent.
+/// Calls an agent and forwards its replies to the core. Returns `None` if the call failed after the
+/// request may have been sent.
 async fn make_call(
     core: &Handle<GatewayCore>,
     channels: &Channels,
--- a/src/gateway/sse.rs
+++ b/src/gateway/sse.rs
@@ -1,4 +1,5 @@
-//! Server-sent events: pieces as they come, and at the end `done` with length and digest, or `refused`.
+//! Server-sent events of a streamed answer: `chunk` and `reset`, then `done` with length and
+//! digest, or `refused`.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -34,21 +35,21 @@
     digest: String,
 }
 
-/// The events of one answer.
+/// Response body that streams the events of one answer.
 pub(super) struct SseBody {
     first: Option<CallerMessage>,
     messages: mpsc::UnboundedReceiver<CallerMessage>,
     guard: Option<CallerGuard>,
     ticket: Option<(Claim, CallerState)>,
-    /// The final answer, while its ticket's home is being told.
+    /// The final answer, held until the end of the run is reported to the ticket's issuing agent.
     telling: Option<(JoinHandle<()>, Answer)>,
-    /// The start of a character whose rest has not come, and where it stands.
+    /// Incomplete UTF-8 sequence at the end of the data received so far.
     tail: BytesMut,
     sent: u64,
 }
 
 impl SseBody {
-    /// Events from messages of the core, of which the first was taken out.
+    /// Creates a body from the core's messages; `first` was already received.
     pub fn new(
         first: Option<CallerMessage>,
         messages: mpsc::UnboundedReceiver<CallerMessage>,
@@ -142,8 +143,8 @@
             return Poll::Ready(None);
         }
         let message = match ready!(self.poll_message(cx)) {
-            // A repeat may come right behind an answer: its home must know by then. A refusal
-            // waits for nothing.
+            // The caller may repeat the request right after the answer, so the issuing agent must
+            // have the result first. A refusal need not wait.
             Some(CallerMessage::Answer(answer)) if self.ticket.is_some() => {
                 let told = self.ticket.take().map(|(c, s)| finish_ticket(&s, c, &answer));
                 let Some(task) = told.filter(|_| matches!(answer, Answer::Complete { .. })) else {
--- a/src/gateway/tickets.rs
+++ b/src/gateway/tickets.rs
@@ -1,4 +1,7 @@
-//! Tickets at the gateway: signed names of a home, opened for callers and checked when they come back.
+//! Tickets at the gateway: opens them at an agent, signs them, and verifies them with each request.
+//!
+//! A ticket lets a caller repeat a request safely. The agent that issued it (`home` on the wire)
+//! grants it to one run only and keeps the answer.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -13,42 +16,42 @@
 use crate::wire::v1;
 use crate::wire::v1::agent_client::AgentClient;
 
-/// Clocks of hosts may differ by this much; the home itself counts the time.
+/// Tolerated difference between the clocks of hosts; the issuing agent enforces the exact expiry.
 const CLOCK_ALLOWANCE: Duration = Duration::from_secs(60);
-/// How long a home may take to answer.
+/// Timeout of a call to an issuing agent.
 const HOME_TIMEOUT: Duration = Duration::from_millis(500);
 const FORMAT: &str = "1";
 
-/// Why a ticket is of no use.
+/// Why a ticket can't be opened or used.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum TicketError {
-    /// It is not written as a ticket.
-    #[snafu(display("not a ticket"))]
+    /// The text is not in the ticket format.
+    #[snafu(display("malformed ticket"))]
     Syntax,
-    /// Its signature is not this fleet's.
-    #[snafu(display("the ticket's signature is wrong"))]
+    /// The signature does not match the fleet's key.
+    #[snafu(display("invalid ticket signature"))]
     Forged,
-    /// It has expired.
-    #[snafu(display("the ticket has expired"))]
+    /// The ticket has expired.
+    #[snafu(display("ticket expired"))]
     Expired,
-    /// Its home has restarted, or can't be reached.
-    #[snafu(display("the ticket's home is gone"))]
+    /// The issuing agent restarted, is unreachable, or no longer has the ticket.
+    #[snafu(display("ticket void, or its issuing agent restarted or is unreachable"))]
     HomeGone,
-    /// No agent could open a ticket.
-    #[snafu(display("no agent could open a ticket"))]
+    /// None of the agents that were asked opened a ticket.
+    #[snafu(display("no agent opened a ticket"))]
     NoHome,
 }
 
-/// A ticket as a caller holds it.
+/// A newly opened ticket, as returned to the caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Issued {
-    /// What to send with the request, and with each repeat of it.
+    /// Text to send with the request and with each repeat of it.
     pub ticket: String,
-    /// How long it is valid, in milliseconds.
+    /// Validity of the ticket, in milliseconds.
     pub valid_ms: u64,
 }
 
-/// What a ticket names.
+/// Content of a ticket.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ticket {
     number: u64,
@@ -63,14 +66,14 @@
         format!("{FORMAT}|{number:016x}|{home}|{address}|{expires_unix_ms}")
     }
 
-    /// The text that callers hold.
+    /// Encodes and signs the ticket.
     pub fn sign(&self, key: &str) -> String {
         let payload = self.payload();
         let signature = mac(key, &payload).finalize().into_bytes();
         format!("{payload}|{signature:x}")
     }
 
-    /// Reads and checks a caller's text.
+    /// Parses a ticket and checks its signature and expiry.
     pub fn verify(text: &str, key: &str) -> Result<Self, TicketError> {
         let (payload, signature) = text.rsplit_once('|').context(SyntaxSnafu)?;
         let signature = from_hex(signature).context(SyntaxSnafu)?;
@@ -81,7 +84,7 @@
         Ok(ticket)
     }
 
-    /// The claim that agents take to the home; the gateway's core fills in the run.
+    /// The claim that an agent makes at the issuing agent; the gateway's core sets its run.
     pub const fn claim(&self) -> Claim {
         let run = RunId { gateway: Incarnation::UNKNOWN, number: 0 };
         Claim { ticket: self.number, home: self.home, address: self.address, run }
@@ -117,7 +120,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-/// Opens a ticket at one of the agents.
+/// Opens a ticket at the first of `agents` that grants one.
 pub async fn open(
     channels: &Channels,
     agents: &[SocketAddr],
@@ -147,23 +150,23 @@
     NoHomeSnafu.fail()
 }
 
-/// What became of a ticket's request.
+/// State of a ticket's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fate {
-    /// Nothing of it has begun.
+    /// No run has begun.
     Free,
-    /// A run has begun, and has not ended with an answer.
+    /// A run has begun; no answer is kept.
     Begun,
-    /// It was answered.
+    /// The request completed.
     Done {
-        /// The request that answered it.
+        /// Identity of the request that completed.
         request: String,
-        /// The whole answer.
+        /// The complete result.
         answer: Vec<u8>,
     },
 }
 
-/// Asks a ticket's home.
+/// Reads the state of a ticket from its issuing agent.
 pub async fn read(channels: &Channels, claim: &Claim) -> Result<Fate, TicketError> {
     let request = v1::ReadTicketRequest { ticket: claim.ticket, home: claim.home.0 };
     let asked = async {
@@ -180,20 +183,21 @@
     }
 }
 
-/// How a run under a ticket ended.
+/// The end of a run under a ticket.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ended {
-    /// The run.
+    /// Identity of the run.
     pub run: RunId,
-    /// Its request.
+    /// Identity of the request.
     pub request: String,
-    /// Whether something of it may have begun.
+    /// Whether any stage of the run may have begun.
     pub begun: bool,
-    /// The whole answer, where there is one.
+    /// The complete result, if the run completed.
     pub answer: Option<Vec<u8>>,
 }
 
-/// Tells the home how a run ended; where it can't be told, a repeat hears "may have run".
+/// Reports the end of a run to the issuing agent. If the report fails, a repeat of the request is
+/// refused with `ran: unknown`.
 pub async fn finish(channels: &Channels, claim: &Claim, ended: Ended) {
     let request = v1::FinishTicketRequest {
         ticket: claim.ticket,
