--- a/src/direct/owner/scheduler.rs
+++ b/src/direct/owner/scheduler.rs
@@ -441,10 +441,10 @@
         &mut self,
         job: JobId,
         reason: JobReason,
-        untouched: bool,
+        not_started: bool,
         retry_after: Duration,
     ) {
-        self.send_to_gateway(job, PeerMessage::Cancelled { job, reason, untouched, retry_after });
+        self.send_to_gateway(job, PeerMessage::Cancelled { job, reason, not_started, retry_after });
     }
 
     pub(super) fn send_to_gateway(&mut self, job: JobId, message: PeerMessage) {
--- a/src/direct/peer_messages.rs
+++ b/src/direct/peer_messages.rs
@@ -108,8 +108,8 @@
             PeerMessage::Permit { number, granted, retry_after } => {
                 self.permit_decided(from, number, granted, retry_after, now);
             }
-            PeerMessage::Cancelled { job, reason, untouched, retry_after } => {
-                let cancelled = CancelledJob { reason, untouched, retry_after };
+            PeerMessage::Cancelled { job, reason, not_started, retry_after } => {
+                let cancelled = CancelledJob { reason, not_started, retry_after };
                 self.requests.job_cancelled(job, from, cancelled, &self.table, now);
             }
         }
@@ -197,8 +197,8 @@
 
     /// Refuses a job, so that its gateway submits it elsewhere.
     fn refuse_job(&mut self, job: JobId, to: SocketAddr) {
-        let (reason, untouched, retry_after) = (JobReason::NotOwner, true, Duration::ZERO);
-        self.send(to, PeerMessage::Cancelled { job, reason, untouched, retry_after });
+        let (reason, not_started, retry_after) = (JobReason::NotOwner, true, Duration::ZERO);
+        self.send(to, PeerMessage::Cancelled { job, reason, not_started, retry_after });
     }
 
     fn gossip(
--- a/src/direct/peers/build.rs
+++ b/src/direct/peers/build.rs
@@ -99,7 +99,7 @@
             && self.reported_unreadable.insert((address, form))
     }
 
-    /// Whether a peer exchanges permits, which builds before [`PERMITS_SINCE`] don't. A peer that
+    /// Whether a peer exchanges permits, which builds before `PERMITS_SINCE` don't. A peer that
     /// has not sent a greeting yet is assumed to run this build.
     pub fn gives_permits(&self, address: SocketAddr) -> bool {
         self.others.get(&address).is_none_or(|(_, build)| build.form >= PERMITS_SINCE)
--- a/src/direct/peers/members.rs
+++ b/src/direct/peers/members.rs
@@ -33,7 +33,7 @@
 const MAX_PARTITIONED: usize = 1_024;
 /// Delay before a gateway takes over a duty from a member that is down, or from one that is newly
 /// up. Others may consider that member up until they, too, have missed its heartbeats for
-/// [`FAILURE_TIMEOUT`] and have received this from their peers.
+/// `FAILURE_TIMEOUT` and have received this from their peers.
 pub const SETTLE_TIME: Duration = Duration::from_millis(1_000);
 /// Number of members that receive each heartbeat.
 const FANOUT: usize = 8;
@@ -306,7 +306,7 @@
     }
 
     /// Marks members whose heartbeats have timed out as down and returns them. All members are
-    /// scanned only when one may have timed out, about once in [`FAILURE_TIMEOUT`], however often
+    /// scanned only when one may have timed out, about once in `FAILURE_TIMEOUT`, however often
     /// this is called.
     pub fn expire(&mut self, now: Timestamp) -> Vec<Member> {
         let is_suspicion_over = self.next_suspicion().is_some_and(|at| now >= at);
--- a/src/direct/peers/message.rs
+++ b/src/direct/peers/message.rs
@@ -209,7 +209,8 @@
         /// Reason for the cancellation.
         reason: JobReason,
         /// Whether no part of the job was started.
-        untouched: bool,
+        #[serde(rename = "untouched")]
+        not_started: bool,
         /// Time after which the job may be submitted again.
         retry_after: Duration,
     },
--- a/src/direct/published/cells.rs
+++ b/src/direct/published/cells.rs
@@ -3,8 +3,8 @@
 //! A single owner can fill each call from all pieces, but it makes every call and handles every
 //! piece, so its host is a bottleneck and a single point of failure. A small deployment is
 //! therefore one cell, and a large one has a cell for each data centre; a job moves to another cell
-//! only if its own has too few endpoints. With 120 endpoints and 620 requests a second the busiest
-//! gateway used 0.12 of a core with one owner and 0.03 with six.
+//! only if its own lacks capacity. With 120 endpoints and 620 requests a second the busiest gateway
+//! used 0.12 of a core with one owner and 0.03 with six.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/direct/requests/stages.rs
+++ b/src/direct/requests/stages.rs
@@ -29,7 +29,7 @@
     /// Reason for the refusal or cancellation.
     pub reason: JobReason,
     /// Whether no part of the job was started.
-    pub untouched: bool,
+    pub not_started: bool,
     /// Delay after which the caller should retry.
     pub retry_after: Duration,
 }
@@ -176,19 +176,19 @@
         table: &Table,
         now: Timestamp,
     ) {
-        let CancelledJob { reason, untouched, retry_after } = cancelled;
+        let CancelledJob { reason, not_started, retry_after } = cancelled;
         let Some((caller, request)) = self.job(job, from) else {
             return;
         };
         let id = request.incoming.id.clone();
-        if untouched && request.results.iter().all(Vec::is_empty) {
+        if not_started && request.results.iter().all(Vec::is_empty) {
             request.holds_results = false;
         }
         self.out.push(Action::Log(LogEvent::StagesGivenUp {
             request: id,
             reason: format!("{reason:?}"),
         }));
-        if untouched && self.try_another_cell(caller, reason, retry_after, table, now) {
+        if not_started && self.try_another_cell(caller, reason, retry_after, table, now) {
             return self.pending_submissions.push(caller);
         }
         match reason {
--- a/testbed/src/frames.rs
+++ b/testbed/src/frames.rs
@@ -298,7 +298,7 @@
         PeerMessage::Cancelled {
             job: job_id(7),
             reason: JobReason::NoRoom,
-            untouched: true,
+            not_started: true,
             retry_after: Duration::from_millis(400),
         },
         PeerMessage::StageDone { job: job_id(7), stage: 1, results: vec![made()] },
--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -196,7 +196,7 @@
 
 fn refuse(core: &mut GatewayCore, from: std::net::SocketAddr, job: &Job, at: u64) -> Vec<Action> {
     let (reason, retry_after) = (JobReason::NoRoom, ms(300));
-    let message = PeerMessage::Cancelled { job: job.id, reason, untouched: true, retry_after };
+    let message = PeerMessage::Cancelled { job: job.id, reason, not_started: true, retry_after };
     core.handle(Event::PeerMessage { from, message }, ms(at))
 }
 
--- a/tests/direct_scheduler.rs
+++ b/tests/direct_scheduler.rs
@@ -162,13 +162,13 @@
         scheduler.submit(job(number, &route, 2), &table, ms(0));
     }
     let refused = told(&scheduler.actions(&table, ms(0))).into_iter().find_map(|m| match m {
-        PeerMessage::Cancelled { job, reason, untouched, retry_after } => {
-            Some((job, reason, untouched, retry_after))
+        PeerMessage::Cancelled { job, reason, not_started, retry_after } => {
+            Some((job, reason, not_started, retry_after))
         }
         _ => None,
     });
-    let (job, reason, untouched, retry_after) = refused.expect("one is refused");
-    assert_eq!((job, reason, untouched), (job_id(3), JobReason::NoRoom, true));
+    let (job, reason, not_started, retry_after) = refused.expect("one is refused");
+    assert_eq!((job, reason, not_started), (job_id(3), JobReason::NoRoom, true));
     assert!(retry_after >= ms(100));
 }
 
@@ -299,7 +299,7 @@
     let given_up = told(&actions).iter().any(|m| {
         matches!(
             m,
-            PeerMessage::Cancelled { reason: JobReason::RepeatBudget, untouched: false, .. }
+            PeerMessage::Cancelled { reason: JobReason::RepeatBudget, not_started: false, .. }
         )
     });
     assert!(given_up, "four repeats where the budget holds one");
@@ -364,7 +364,7 @@
     scheduler.submit(job(3, &route, 2), &table, ms(6));
     let refused = |actions: &[Action]| {
         told(actions).iter().any(|m| {
-            matches!(m, PeerMessage::Cancelled { reason: JobReason::NoRoom, untouched: true, .. })
+            matches!(m, PeerMessage::Cancelled { reason: JobReason::NoRoom, not_started: true, .. })
         })
     };
     assert!(refused(&scheduler.actions(&table, ms(6))), "what others hold is not there");
--- a/tests/direct_stops.rs
+++ b/tests/direct_stops.rs
@@ -300,7 +300,7 @@
 }
 
 fn is_refused_as_not_owned(told: &[&PeerMessage], job: JobId) -> bool {
-    let is_refused = |m: &&PeerMessage| matches!(m, PeerMessage::Cancelled { job: j, reason: JobReason::NotOwner, untouched: true, .. } if *j == job);
+    let is_refused = |m: &&PeerMessage| matches!(m, PeerMessage::Cancelled { job: j, reason: JobReason::NotOwner, not_started: true, .. } if *j == job);
     told.len() == 1 && told.iter().all(is_refused)
 }
 
@@ -371,7 +371,7 @@
     let message = PeerMessage::Cancelled {
         job,
         reason: JobReason::NotOwner,
-        untouched: true,
+        not_started: true,
         retry_after: Duration::ZERO,
     };
     let now = SIGNAL + ms(1_600);
--- a/tests/direct_upgrades.rs
+++ b/tests/direct_upgrades.rs
@@ -194,7 +194,7 @@
     let actions = core.handle(event(), ms(10));
     let refused = matches!(
         told(&actions).as_slice(),
-        [(to, PeerMessage::Cancelled { reason: JobReason::NotOwner, untouched: true, .. })]
+        [(to, PeerMessage::Cancelled { reason: JobReason::NotOwner, not_started: true, .. })]
             if *to == from
     );
     assert!(refused, "{actions:?}");
@@ -218,8 +218,8 @@
             _ => None,
         });
         let Some((owner, job)) = submitted else { continue };
-        let (reason, untouched, retry_after) = (JobReason::NotOwner, true, Duration::ZERO);
-        let message = PeerMessage::Cancelled { job, reason, untouched, retry_after };
+        let (reason, not_started, retry_after) = (JobReason::NotOwner, true, Duration::ZERO);
+        let message = PeerMessage::Cancelled { job, reason, not_started, retry_after };
         let actions = core.handle(Event::PeerMessage { from: owner, message }, ms(22 + caller));
         let again = told(&actions).into_iter().find_map(|(to, message)| match message {
             PeerMessage::Submit(_) => Some(to),
