--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -1,4 +1,4 @@
-//! Checks a whole configuration; every problem at once, each with its path.
+//! Validates a complete configuration; reports all problems at once, each with its path.
 
 use std::collections::HashSet;
 use std::fmt;
@@ -7,70 +7,70 @@
 
 use super::{Config, Effect, EndpointKind, Labels, labels};
 
-/// Longest deadline that a pipeline may have, in milliseconds.
+/// Longest allowed deadline of a pipeline, in milliseconds.
 pub const MAX_DEADLINE_MS: u64 = 600_000;
-/// Most stages of one pipeline.
+/// Maximum number of stages in a pipeline.
 pub const MAX_STAGES: usize = 16;
 
-/// What is wrong with one place of a configuration.
+/// Problem with one value of a configuration.
 #[derive(Debug, Snafu, PartialEq, Clone)]
 pub enum Problem {
-    /// Two of a kind with one name.
-    #[snafu(display("the name {name:?} stands twice"))]
+    /// Two items of the same kind have the same name.
+    #[snafu(display("duplicate name {name:?}"))]
     Duplicate {
-        /// The name.
+        /// Name of the item.
         name: String,
     },
-    /// A name that is empty or has characters that no name has.
+    /// A name is empty or contains invalid characters.
     #[snafu(display("{name:?} is not a name: letters, digits, '-', '_' and '.' only"))]
     BadName {
-        /// The name.
+        /// Name of the item.
         name: String,
     },
-    /// A label that no selector could name.
+    /// A label key or value is invalid.
     #[snafu(display("{source}"))]
     BadLabel {
-        /// What is wrong with it.
+        /// Details of the problem.
         source: labels::SelectorError,
     },
-    /// A number outside its range.
+    /// A number is outside its allowed range.
     #[snafu(display("{value} is not allowed: {allowed}"))]
     OutOfRange {
-        /// The number.
+        /// Value in the configuration.
         value: f64,
-        /// What is allowed.
+        /// Description of the allowed values.
         allowed: &'static str,
     },
-    /// A selector that nothing in this configuration matches.
+    /// A selector matches nothing in this configuration.
     #[snafu(display("the selector {selector:?} matches no {of}"))]
     MatchesNothing {
-        /// The selector.
+        /// Text of the selector.
         selector: String,
-        /// What it should match.
+        /// Kind of item that the selector should match.
         of: &'static str,
     },
-    /// A rule for a stage that no pipeline has.
+    /// A rule names a stage that no pipeline has.
     #[snafu(display("no pipeline has a stage {stage:?}"))]
     UnknownStage {
-        /// The stage's name.
+        /// Name of the stage.
         stage: String,
     },
-    /// A list that must have members and has none, or has too many.
+    /// A list is empty although it must have members, or has too many.
     #[snafu(display("{len} members are not allowed: {allowed}"))]
     Length {
-        /// Members found.
+        /// Number of members.
         len: usize,
-        /// What is allowed.
+        /// Description of the allowed values.
         allowed: &'static str,
     },
 }
 
-/// A problem and where it stands, such as `pipelines[0].stages[2].endpoints`.
+/// A problem and its path, such as `pipelines[0].stages[2].endpoints`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Finding {
-    /// The path from the root of the document.
+    /// Path from the root of the document.
     pub path: String,
-    /// What is wrong there.
+    /// Problem with the value at the path.
     pub problem: Problem,
 }
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// Everything that is wrong with `config`; empty when it may be published.
+/// Returns all problems of `config`; empty if it may be published.
 pub fn check(config: &Config) -> Vec<Finding> {
     let mut findings = Findings::default();
     findings.pipelines(config);
--- a/src/config/diff.rs
+++ b/src/config/diff.rs
@@ -1,4 +1,4 @@
-//! What one configuration changes in another, for the audit trail and `stackmast diff`.
+//! Differences between two configurations, for the audit trail and `stackmast diff`.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt;
@@ -12,11 +12,11 @@
 /// One difference, with its path.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Change {
-    /// Such as `endpoints[enc-1].labels.zone`.
+    /// Path of the changed value, such as `endpoints[enc-1].labels.zone`.
     pub path: String,
-    /// The value before, where there was one.
+    /// Old value; `None` if it was added.
     pub before: Option<Value>,
-    /// The value after, where there is one.
+    /// New value; `None` if it was removed.
     pub after: Option<Value>,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// All differences from `before` to `after`; members of lists are matched by name.
+/// Returns all differences from `before` to `after`; members of lists are matched by name.
 pub fn diff(before: &Config, after: &Config) -> Vec<Change> {
     let mut changes = Vec::new();
     compare_members("endpoints", &before.endpoints, &after.endpoints, |e| &e.name, &mut changes);
@@ -45,7 +45,7 @@
     changes
 }
 
-/// What is not in the two long lists.
+/// The configuration without its endpoints and organisations, which are compared separately.
 fn rest(config: &Config) -> Value {
     let short = Config {
         version: config.version,
@@ -59,7 +59,8 @@
     to_value(&short)
 }
 
-/// Only members that differ are looked into: two versions share nearly all of them.
+/// Compares two lists member by member. Only members that differ are serialised, because two
+/// versions share nearly all of them.
 fn compare_members<T: Serialize + PartialEq>(
     list: &str,
     before: &[Arc<T>],
@@ -118,7 +119,8 @@
     }
 }
 
-/// The members of an object, or of a list of named objects; `None` for any other value.
+/// The members of an object or of a list of named objects, by path segment; `None` for other
+/// values.
 fn members(value: &Value) -> Option<BTreeMap<String, &Value>> {
     match value {
         Value::Object(map) => Some(map.iter().map(|(k, v)| (format!(".{k}"), v)).collect()),
--- a/src/config/labels.rs
+++ b/src/config/labels.rs
@@ -1,4 +1,4 @@
-//! Labels and selectors, with the syntax and meaning that Kubernetes users expect.
+//! Labels and label selectors, with the syntax and semantics of Kubernetes.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,33 +9,33 @@
 /// The labels of an endpoint, an organisation or a request.
 pub type Labels = BTreeMap<String, String>;
 
-/// The longest key or value of a label, in bytes.
+/// Maximum length of a label key or value, in bytes.
 pub const MAX_LABEL_LEN: usize = 253;
-/// The longest selector that is parsed, in bytes.
+/// Maximum length of a selector, in bytes.
 pub const MAX_SELECTOR_LEN: usize = 4096;
 
-/// Why a selector or a label could not be read.
+/// Why a selector or a label could not be parsed.
 #[derive(Debug, Snafu, PartialEq, Eq, Clone)]
 pub enum SelectorError {
     /// The selector is longer than [`MAX_SELECTOR_LEN`].
-    #[snafu(display("a selector has at most {MAX_SELECTOR_LEN} bytes, this one has {len}"))]
+    #[snafu(display("the selector has {len} bytes, the maximum is {MAX_SELECTOR_LEN}"))]
     TooLong {
-        /// Bytes of the selector.
+        /// Length of the selector, in bytes.
         len: usize,
     },
-    /// A requirement names no key, or a key with characters that no key has.
+    /// The key of a requirement or label is empty, too long or contains invalid characters.
     #[snafu(display("{key:?} is not a label key"))]
     BadKey {
-        /// The text in the key's place.
+        /// Text found in place of a key.
         key: String,
     },
-    /// A value has characters that no value has.
+    /// A value is too long or contains invalid characters.
     #[snafu(display("{value:?} is not a label value"))]
     BadValue {
-        /// The text in the value's place.
+        /// Text found in place of a value.
         value: String,
     },
-    /// An operator without its operand, or with one that it does not take.
+    /// An operator has no operand or an invalid one.
     #[snafu(display(
         "{text:?} is not a requirement: expected key, !key, key=value, key!=value, key in (a,b) or key notin (a,b)"
     ))]
@@ -45,7 +45,7 @@
     },
 }
 
-/// What a requirement asks of one label.
+/// Condition on the value of a label.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Operator {
     Exists,
@@ -54,7 +54,7 @@
     NotIn(Vec<String>),
 }
 
-/// One requirement of a selector: an operator on one key.
+/// One requirement of a selector: a label key and a condition on its value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Requirement {
     key: String,
@@ -62,7 +62,7 @@
 }
 
 impl Requirement {
-    /// Whether `labels` meet this requirement; an absent key meets `!=` and `notin`.
+    /// Whether `labels` meet this requirement; a missing key meets `!=` and `notin`.
     pub fn matches(&self, labels: &Labels) -> bool {
         let value = labels.get(&self.key);
         match &self.operator {
@@ -116,7 +116,7 @@
         self.requirements.iter().all(|r| r.matches(labels))
     }
 
-    /// The first requirement that `labels` fail, for explanations.
+    /// The first requirement that `labels` don't meet, for explanations.
     pub fn first_failure(&self, labels: &Labels) -> Option<&Requirement> {
         self.requirements.iter().find(|r| !r.matches(labels))
     }
@@ -152,7 +152,7 @@
     }
 }
 
-/// Checks one label as operators or callers give it.
+/// Validates one label of an operator or caller.
 pub fn check_label(key: &str, value: &str) -> Result<(), SelectorError> {
     parse_key(key)?;
     parse_value(value)?;
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,5 @@
-//! What operators publish: the model of the configuration and the ways to check, split and compare it.
+//! The configuration that operators publish: its data model, and submodules that validate, split
+//! and compare it.
 
 pub mod check;
 pub mod diff;
@@ -11,47 +12,48 @@
 
 pub use labels::{Labels, Selector, SelectorError};
 
-/// The name of an endpoint, organisation, pipeline or rule.
+/// Name of an item of the configuration, such as an endpoint, organisation, pipeline or rule.
 pub type Name = String;
 
-/// One whole configuration, as operators write it in one JSON document.
+/// A complete configuration; operators write it as one JSON document.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Grows with every publication; never goes back in a process.
+    /// Increases with every publication; a process never returns to a lower version.
     pub version: u64,
-    /// The pipelines that callers may name.
+    /// Pipelines that callers can request.
     pub pipelines: Vec<Pipeline>,
-    /// Every endpoint of the fleet.
+    /// All endpoints of the fleet.
     pub endpoints: Vec<Arc<Endpoint>>,
-    /// Every organisation that may call.
+    /// All organisations that may send requests.
     pub organisations: Vec<Arc<Organisation>>,
-    /// Rules by selectors, in order; the first that matches decides, for each kind of effect.
+    /// Rules in order of precedence: for each kind of effect the first matching rule applies.
     #[serde(default)]
     pub rules: Vec<Rule>,
-    /// Limits on the rate of requests.
+    /// Rate limits of organisations.
     #[serde(default)]
     pub limits: Vec<Limit>,
-    /// What each model endpoint has loaded, by selector.
+    /// Models and adapters to be loaded by engines.
     #[serde(default)]
     pub placements: Vec<Placement>,
-    /// Weights and bounds of the decisions.
+    /// Parameters of admission and routing.
     #[serde(default)]
     pub policy: Policy,
 }
 
-/// A sequence of stages that a caller starts by name.
+/// A named sequence of stages that callers can request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pipeline {
-    /// The name in the caller's path.
+    /// Name of the pipeline in the request path.
     pub name: Name,
-    /// The deadline of a request that names none, in milliseconds.
+    /// Default deadline of a request, in milliseconds.
     pub deadline_ms: u64,
-    /// Requests of a higher priority leave an agent's queue first.
+    /// Default priority of the pipeline's requests; agents run queued requests of a higher priority
+    /// first.
     #[serde(default)]
     pub priority: u8,
-    /// The stages, run in this order, each with the result of the one before.
+    /// Stages in execution order; each one receives the result of the previous one.
     pub stages: Vec<Stage>,
 }
 
@@ -59,14 +61,14 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stage {
-    /// The stage's name, such as `encode`; sent to the endpoint.
+    /// Name of the stage, such as `encode`; sent to the endpoint.
     pub name: Name,
-    /// Which endpoints may run this stage.
+    /// Selects the endpoints that may run this stage.
     pub endpoints: Selector,
-    /// Whether a call of this stage may be run again when its outcome is unknown.
+    /// Whether a call of this stage may be repeated when its outcome is unknown.
     #[serde(default)]
     pub may_repeat: bool,
-    /// What is assumed of this stage's time before any was measured, in milliseconds.
+    /// Assumed duration of this stage until one has been measured, in milliseconds.
     #[serde(default = "default_expected_ms")]
     pub expected_ms: u64,
 }
@@ -75,37 +77,37 @@
     20
 }
 
-/// How an endpoint is spoken to.
+/// Kind of an endpoint, which determines the protocol that its agent uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndpointKind {
-    /// A plain HTTP service: one call, one answer.
+    /// A plain HTTP service with one response per call.
     Service,
-    /// A model engine: streams that are resumed and cancelled by attempt.
+    /// A model engine with streamed results, which can be resumed and cancelled by attempt.
     Engine,
 }
 
-/// One back end, reached through the agent beside it.
+/// A back end, reached through the agent that runs beside it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Endpoint {
-    /// Unique among endpoints.
+    /// Name of the endpoint, unique in the configuration.
     pub name: Name,
-    /// How it is spoken to.
+    /// Kind of the endpoint.
     pub kind: EndpointKind,
-    /// IP address and port of the agent beside it.
+    /// IP address and port of the endpoint's agent.
     pub agent: std::net::SocketAddr,
-    /// Where it stands.
+    /// Data centre of the endpoint.
     pub data_centre: Name,
-    /// What selectors see.
+    /// Labels that selectors match.
     #[serde(default)]
     pub labels: Labels,
-    /// Calls that the endpoint runs at once.
+    /// Number of calls that the endpoint runs concurrently.
     pub concurrency: u32,
-    /// Relative cost of a second of this endpoint's work.
+    /// Relative cost of one second of work at this endpoint.
     #[serde(default = "default_cost")]
     pub cost: f64,
-    /// Whether operators take it out of service.
+    /// Whether the endpoint is being taken out of service and receives no new work.
     #[serde(default)]
     pub leaving: bool,
 }
@@ -114,123 +116,126 @@
     1.0
 }
 
-/// One customer of an operator.
+/// A customer of the operator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
-    /// The name that callers give.
+    /// Name that callers send with their requests.
     pub name: Name,
-    /// What selectors see.
+    /// Labels that selectors match.
     #[serde(default)]
     pub labels: Labels,
 }
 
-/// A rule: for which requests, and what follows.
+/// A rule that applies an effect to matching requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
-    /// Shown in explanations.
+    /// Name that is shown in explanations.
     pub name: Name,
-    /// Which organisations it is for.
+    /// Selects the organisations to which the rule applies.
     #[serde(default)]
     pub organisations: Selector,
-    /// Which requests it is for, by their labels.
+    /// Selects the requests to which the rule applies, by their labels.
     #[serde(default)]
     pub requests: Selector,
-    /// What follows.
+    /// Effect on matching requests.
     pub effect: Effect,
 }
 
-/// What a rule does.
+/// Effect of a rule.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Effect {
-    /// Refuse the request before anything runs.
+    /// Refuse the request before any stage runs.
     Refuse,
-    /// Give the request this priority in place of its pipeline's.
+    /// Replace the pipeline's priority for the request.
     Priority(u8),
-    /// Run a stage on these endpoints only.
+    /// Restrict a stage to some of its endpoints.
     Require {
-        /// The stage's name.
+        /// Name of the stage.
         stage: Name,
-        /// The endpoints that remain.
+        /// Selects the endpoints that may still run the stage.
         endpoints: Selector,
     },
 }
 
-/// A limit on requests, for each organisation that the selector matches.
+/// A rate limit that applies separately to each matching organisation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limit {
-    /// Shown in explanations.
+    /// Name that is shown in explanations.
     pub name: Name,
-    /// Which organisations it is for.
+    /// Selects the organisations to which the limit applies.
     #[serde(default)]
     pub organisations: Selector,
-    /// Which requests it counts, by their labels.
+    /// Selects the requests that are counted, by their labels.
     #[serde(default)]
     pub requests: Selector,
-    /// Requests a second, over the whole fleet.
+    /// Requests per second, over the whole fleet.
     pub per_second: f64,
-    /// Requests that may come at once, over the whole fleet.
+    /// Largest burst of requests, over the whole fleet.
     pub burst: f64,
 }
 
-/// What the endpoints that a selector matches have loaded.
+/// A model and its adapters that the engines matched by a selector load.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Placement {
-    /// Which engines it is for.
+    /// Selects the engines.
     pub endpoints: Selector,
-    /// The model's name.
+    /// Name of the model.
     pub model: Name,
-    /// The model's version.
+    /// Version of the model.
     pub model_version: Name,
-    /// Adapters on top of the model.
+    /// Names of the adapters to be loaded in addition to the model.
     #[serde(default)]
     pub adapters: Vec<Name>,
 }
 
-/// How a stage's endpoint is chosen; all but the first are baselines to measure against.
+/// Algorithm that chooses the endpoint of a stage; all but `Predicted` are baselines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Default)]
 #[serde(rename_all = "kebab-case")]
 pub enum Routing {
-    /// The best predicted finish among a few.
+    /// The best predicted completion time among a sample of candidates.
     #[default]
     Predicted,
-    /// Any.
+    /// A random endpoint.
     Random,
-    /// One after the other.
+    /// Endpoints in turn.
     RoundRobin,
-    /// The one with the least own attempts in flight.
+    /// The endpoint with the fewest attempts of this gateway in flight.
     LeastInFlight,
-    /// The one with less own attempts in flight of two.
+    /// The one of two random endpoints with fewer attempts of this gateway in flight.
     TwoChoices,
 }
 
-/// Weights and bounds of the decisions.
+/// Parameters of admission and routing.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// How a stage's endpoint is chosen.
+    /// Algorithm that chooses the endpoint of a stage.
     pub routing: Routing,
-    /// Whether a request that is predicted to be late is refused before its first stage.
+    /// Whether a request that is predicted to miss its deadline is refused before its first stage.
     pub admission: bool,
-    /// Milliseconds of predicted finish that one unit of cost is worth; 0 looks at time alone.
+    /// Milliseconds of predicted completion time that one unit of cost is worth; at 0 only the time
+    /// is compared.
     pub cost_weight_ms: f64,
-    /// Candidates that are compared for each stage.
+    /// Number of candidates that are compared for each stage.
     pub compared: usize,
-    /// Endpoints of each pool that a gateway knows.
+    /// Maximum number of endpoints of each pool that a gateway uses.
     pub subset: usize,
-    /// Retries that each first try earns, as a fraction.
+    /// Retries that each first attempt adds to the retry budget, as a fraction.
     pub retry_fraction: f64,
-    /// One way between data centres, in milliseconds.
+    /// One-way network delay between data centres, in milliseconds.
     pub remote_ms: f64,
-    /// The share of its remaining time that a stage may wait in one queue before it is revoked.
+    /// Share of the remaining time that a stage may wait in one agent's queue before the attempt is
+    /// revoked.
     pub patience: f64,
-    /// Engines that load a model at once in the whole fleet, in a second: the weight store's rate.
+    /// Number of engines in the fleet that may start loading a model per second, bounded by the
+    /// weight store's rate.
     pub loads_per_second: f64,
-    /// The largest share of a pool that may be held as suspected at once.
+    /// Largest share of a pool that may be excluded as suspected at once.
     pub suspected_fraction: f64,
 }
 
--- a/src/config/parts.rs
+++ b/src/config/parts.rs
@@ -1,6 +1,7 @@
-//! Splits a configuration into parts that fit the platform's values, and puts it together again.
+//! Splits a configuration into parts that fit into values of the platform, and assembles it again.
 //!
-//! A manifest names the version and the digest of every part, so that only changed parts travel.
+//! A manifest lists the version and the digest of every part, so that only changed parts are
+//! transferred.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -13,81 +14,82 @@
 
 use super::{Config, Endpoint, Limit, Organisation, Pipeline, Placement, Policy, Rule};
 
-/// The platform's bound on one value, in bytes.
+/// Maximum length of a value on the platform, in bytes.
 pub const MAX_PART_LEN: usize = 1_000_000;
-/// The key of the manifest at the platform.
+/// Key of the manifest on the platform.
 pub const MANIFEST_KEY: &str = "stackmast/manifest";
-/// The prefix of the parts' keys at the platform.
+/// Prefix of the keys of parts on the platform.
 pub const PART_PREFIX: &str = "stackmast/part/";
-/// Endpoints or organisations in one shard, on average; a shard is at most twice as large.
+/// Upper limit of the mean number of endpoints or organisations per shard; a single shard holds at
+/// most about twice as many.
 const SHARD_MEMBERS: usize = 128;
 
-/// Why parts make no configuration.
+/// Why a configuration could not be split or assembled.
 #[derive(Debug, Snafu)]
 pub enum PartsError {
-    /// A part that the manifest names is not there.
+    /// A part that the manifest lists is missing.
     #[snafu(display("part {name:?} is missing"))]
     Missing {
-        /// The part's name.
+        /// Name of the part.
         name: String,
     },
-    /// A part with other content than the manifest says.
-    #[snafu(display("part {name:?} has digest {found}, the manifest says {expected}"))]
+    /// The content of a part does not match the digest in the manifest.
+    #[snafu(display("part {name:?} has digest {found}, the manifest lists {expected}"))]
     Digest {
-        /// The part's name.
+        /// Name of the part.
         name: String,
-        /// The digest of what was read.
+        /// Digest of the content.
         found: String,
-        /// The digest in the manifest.
+        /// Digest in the manifest.
         expected: String,
     },
-    /// A part that is not what its name says.
-    #[snafu(display("part {name:?} can't be read: {source}"))]
+    /// A part is not valid JSON for its kind, which is given by its name.
+    #[snafu(display("part {name:?} can't be parsed or serialised: {source}"))]
     Syntax {
-        /// The part's name.
+        /// Name of the part.
         name: String,
-        /// Where and why.
+        /// Cause, with the position in the part.
         source: serde_json::Error,
     },
-    /// A part of a kind that this version doesn't know.
-    #[snafu(display("part {name:?} is of no known kind"))]
+    /// The kind of a part is unknown to this version of the program.
+    #[snafu(display("part {name:?} has an unknown kind"))]
     UnknownKind {
-        /// The part's name.
+        /// Name of the part.
         name: String,
     },
-    /// A part that no value of the platform holds.
-    #[snafu(display("part {name:?} has {len} bytes, the platform holds {MAX_PART_LEN}"))]
+    /// A part exceeds the maximum length of a value on the platform.
+    #[snafu(display("part {name:?} has {len} bytes, the platform's maximum is {MAX_PART_LEN}"))]
     TooLarge {
-        /// The part's name.
+        /// Name of the part.
         name: String,
-        /// Its bytes.
+        /// Length of the part, in bytes.
         len: usize,
     },
-    /// A manifest whose digest is not that of its list.
+    /// The digest of a manifest does not match its list of parts.
     #[snafu(display("the manifest of version {version} has a wrong digest"))]
     ManifestDigest {
-        /// The manifest's version.
+        /// Version of the manifest.
         version: u64,
     },
 }
 
-/// A part's name and digest.
+/// Name and digest of a part.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartEntry {
-    /// The part's name, such as `organisations-3`.
+    /// Name of the part, such as `organisations-3`.
     pub name: String,
-    /// xxh3-128 of its bytes, in hexadecimal.
+    /// xxh3-128 of the part's bytes, in hexadecimal.
     pub digest: String,
 }
 
-/// A version and the parts that it consists of.
+/// List of the parts of one configuration version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// The configuration's version.
+    /// Version of the configuration.
     pub version: u64,
-    /// xxh3-128 over the names and digests of all parts, in hexadecimal.
+    /// xxh3-128 over the version and the names and digests of all parts, in hexadecimal.
     pub digest: String,
-    /// The parts, by name.
+    /// Entries of the parts.
     pub parts: Vec<PartEntry>,
 }
 
@@ -97,7 +99,7 @@
         Self { version, digest, parts }
     }
 
-    /// Fails when the list is not the one that the digest was made of.
+    /// Fails if the digest does not match the version and the list of parts.
     pub fn verify(&self) -> Result<(), PartsError> {
         let version = self.version;
         ensure!(self.digest == list_digest(version, &self.parts), ManifestDigestSnafu { version });
@@ -108,13 +110,13 @@
 /// A manifest with the content of its parts.
 #[derive(Debug, Clone)]
 pub struct Bundle {
-    /// What the parts are.
+    /// Manifest that lists the parts.
     pub manifest: Manifest,
-    /// The parts' bytes by digest.
+    /// Content of the parts, by digest.
     pub parts: BTreeMap<String, Bytes>,
 }
 
-/// The digest of one part's bytes.
+/// Digest of a part's content: xxh3-128 in hexadecimal.
 pub fn digest(bytes: &[u8]) -> String {
     format!("{:032x}", xxh3_128(bytes))
 }
@@ -130,7 +132,7 @@
     digest(text.as_bytes())
 }
 
-/// Everything that is neither an endpoint nor an organisation.
+/// Part with everything except the endpoints and the organisations.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Main {
@@ -173,7 +175,8 @@
     Ok(Bytes::from(bytes))
 }
 
-/// Members go to shards by the hash of their names, so that one change touches one shard.
+/// Assigns members to shards by the hash of their names, so that a change of one member changes one
+/// shard only.
 fn shards<T: Serialize>(
     prefix: &str,
     members: &[Arc<T>],
@@ -193,7 +196,7 @@
     encoded.collect()
 }
 
-/// The members of one part, as they are in the configuration.
+/// Decoded content of one part.
 #[derive(Debug, Clone)]
 enum Members {
     Main(Arc<Main>),
@@ -201,7 +204,8 @@
     Organisations(Vec<Arc<Organisation>>),
 }
 
-/// A configuration put together from parts; the next one shares what did not change.
+/// A configuration assembled from parts. Its decoded parts are kept, so that the next version
+/// shares those that are unchanged.
 #[derive(Debug, Clone)]
 pub struct Assembled {
     /// The configuration.
@@ -209,8 +213,8 @@
     members: HashMap<String, Members>,
 }
 
-/// Puts a configuration together; every part must be there and have its digest. Parts that `before`
-/// has are not read again, and their members are shared with it.
+/// Assembles a configuration; every part must be present and match its digest. Parts that `before`
+/// contains are not decoded again; their members are shared with it.
 pub fn join(bundle: &Bundle, before: Option<&Assembled>) -> Result<Assembled, PartsError> {
     bundle.manifest.verify()?;
     let mut config = Config { version: bundle.manifest.version, ..Config::default() };
--- a/src/config_store.rs
+++ b/src/config_store.rs
@@ -1,4 +1,4 @@
-//! Keeps the documents in force: the configuration and the host list. Versions only grow.
+//! Validates published configurations and holds the one in force; its version only increases.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -15,48 +15,48 @@
 use crate::invariant::Violation;
 use crate::metrics as m;
 
-/// A configuration in force, with the parts that it came in.
+/// The configuration in force and the parts that it was assembled from.
 #[derive(Debug)]
 pub struct Installed {
     /// The configuration.
     pub config: Arc<Config>,
-    /// Its manifest and parts, for peers.
+    /// Manifest and parts, as served to peers.
     pub bundle: Bundle,
     assembled: Assembled,
 }
 
-/// What became of a configuration that was offered.
+/// Result of offering a configuration that passed all checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It is in force now.
+    /// The offered configuration is now in force.
     Accepted,
-    /// It was in force already.
+    /// The offered version was already in force.
     Same,
-    /// A newer one is in force.
+    /// A newer version is in force.
     Older,
 }
 
 /// Why a configuration was not applied.
 #[derive(Debug, Snafu)]
 pub enum Rejection {
-    /// Its parts make no configuration.
+    /// The parts could not be assembled into a configuration.
     #[snafu(display("{source}"))]
     Parts {
-        /// Why.
+        /// Cause of the failure.
         source: PartsError,
     },
-    /// Checks found something wrong.
+    /// The configuration did not pass validation.
     #[snafu(display("version {version} has {count} findings"))]
     Findings {
-        /// Its version.
+        /// Version of the rejected configuration.
         version: u64,
-        /// How many.
+        /// Number of findings.
         count: usize,
     },
-    /// Another content has this version already.
-    #[snafu(display("version {version} is in force with another content"))]
+    /// A configuration with the same version but different content is in force.
+    #[snafu(display("version {version} is already in force with different content"))]
     Conflict {
-        /// The version.
+        /// Version that both configurations have.
         version: u64,
     },
 }
@@ -65,14 +65,15 @@
 #[derive(Debug)]
 pub struct ConfigStore {
     installed: ArcSwapOption<Installed>,
-    /// Serialises offers; holds the last rejected digest, so that it is recorded once.
+    /// Digest of the last rejected manifest, so that each rejection is recorded once; the lock also
+    /// serialises offers.
     rejected: Mutex<Option<String>>,
     announced: watch::Sender<u64>,
     audit: Audit,
 }
 
 impl ConfigStore {
-    /// A store of nothing yet.
+    /// Creates a store without a configuration.
     pub fn new(audit: Audit) -> Self {
         Self {
             installed: ArcSwapOption::empty(),
@@ -87,23 +88,25 @@
         self.installed.load_full()
     }
 
-    /// The version in force; 0 where there is none.
+    /// The version in force; 0 if there is none.
     pub fn version(&self) -> u64 {
         self.installed.load().as_ref().map_or(0, |i| i.config.version)
     }
 
-    /// Says each version that comes in force.
+    /// Receives each version as it takes effect.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.announced.subscribe()
     }
 
-    /// Whether a manifest is worth fetching: newer, and not rejected before.
+    /// Whether the parts of a manifest should be fetched: its version is newer than the one in
+    /// force and its digest is not the last one rejected.
     pub fn wants(&self, version: u64, digest: &str) -> bool {
         let rejected = self.rejected.lock().unwrap_or_else(PoisonError::into_inner);
         version > self.version() && rejected.as_deref() != Some(digest)
     }
 
-    /// Counts and records another content under the version in force; returns whether it is one.
+    /// Whether a manifest has the version in force but a different digest. The conflict is counted
+    /// and recorded in the audit trail once for each digest.
     pub fn is_conflict(&self, version: u64, digest: &str) -> bool {
         let Some(current) = self.installed() else {
             return false;
@@ -122,7 +125,7 @@
         true
     }
 
-    /// Applies a configuration as a whole, or nothing of it.
+    /// Validates a configuration and puts it in force as a whole, or rejects it without any effect.
     pub fn offer(&self, bundle: Bundle, source: &str) -> Result<Outcome, Rejection> {
         let (version, digest) = (bundle.manifest.version, bundle.manifest.digest.clone());
         if self.is_conflict(version, &digest) {
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of the endpoints it uses: load, estimates, suspicion, incarnations.
+//! Per-endpoint state of a gateway: load reports, time estimates, suspicion and incarnations.
 
 use std::time::Duration;
 
@@ -7,25 +7,25 @@
 use crate::message::{Incarnation, Load, Timestamp};
 use crate::policy::predict::{Estimate, SizeClass};
 
-/// The first suspicion lasts this long; each further one twice as long.
+/// Duration of the first suspicion; it doubles with each consecutive failure.
 const SUSPECT_FIRST: Duration = Duration::from_millis(500);
-/// The longest suspicion.
+/// Upper limit of the duration of a suspicion.
 const SUSPECT_LONGEST: Duration = Duration::from_secs(8);
-/// How long an agent's word that it is leaving is believed without a newer one.
+/// How long a leaving announcement of an agent is valid unless it is repeated.
 const LEAVING_BELIEVED: Duration = Duration::from_secs(10);
-/// An unused endpoint's state is forgotten after this time.
+/// The state of an endpoint is removed after it has been unused for this time.
 const FORGET_AFTER: Duration = Duration::from_secs(600);
 
-/// One endpoint, as far as this gateway has seen it.
+/// State of one endpoint, as observed by this gateway.
 #[derive(Debug, Default)]
 pub struct EndpointState {
-    /// The agent's incarnation, where it is known.
+    /// Incarnation of the agent; the default value if it is unknown.
     pub incarnation: Incarnation,
-    /// Own attempts there that have not ended.
+    /// Attempts that this gateway sent to the endpoint and that have not ended.
     pub in_flight: u32,
-    /// The last load report, and when it came.
+    /// The last load report and its time of receipt.
     pub report: Option<(Load, Timestamp)>,
-    /// Failures in a row.
+    /// Number of consecutive failures.
     pub failures: u32,
     heard_at: Option<Timestamp>,
     suspected_until: Option<Timestamp>,
@@ -35,27 +35,29 @@
 }
 
 impl EndpointState {
-    /// Whether it failed lately and was not heard of since.
+    /// Whether the endpoint failed recently and its agent has not replied since.
     pub fn is_suspected(&self, now: Timestamp) -> bool {
         self.suspected_until.is_some_and(|until| now < until)
     }
 
-    /// Whether its agent spoke within this time, so that its incarnation is likely to be the same.
+    /// Whether the agent replied within `time` before `now`, so that its incarnation is probably
+    /// unchanged.
     pub fn was_heard_within(&self, time: Duration, now: Timestamp) -> bool {
         self.heard_at.is_some_and(|at| now.saturating_sub(at) < time)
     }
 
-    /// Whether its agent said that it takes no new work.
+    /// Whether the agent announced that it accepts no new work.
     pub fn is_leaving(&self, now: Timestamp) -> bool {
         self.leaving_until.is_some_and(|until| now < until)
     }
 
-    /// The estimate of a stage's time there.
+    /// Estimated time of a stage at this endpoint.
     pub fn estimate(&self, stage: u64, size: SizeClass) -> Option<&Estimate> {
         self.estimates.get(&(stage, size))
     }
 
-    /// Attempts expected to be before a new one, the report aged by what was drained since.
+    /// Attempts expected to be ahead of a new one: the reported load less the attempts that the
+    /// endpoint can have completed since the report, and at least the gateway's own attempts.
     pub fn backlog(&self, now: Timestamp, service: Duration) -> f64 {
         let own = f64::from(self.in_flight);
         let Some((load, at)) = self.report else {
@@ -67,13 +69,13 @@
         own.max(reported - drained)
     }
 
-    /// Calls that it runs at once, by its last report.
+    /// Number of concurrent calls by the last report, or `configured` before the first one.
     pub fn limit(&self, configured: u32) -> u32 {
         self.report.map_or(configured, |(load, _)| load.limit).max(1)
     }
 }
 
-/// All endpoints that this gateway has used lately.
+/// All endpoints that this gateway has used recently.
 #[derive(Debug, Default)]
 pub struct Fleet {
     endpoints: HashMap<String, EndpointState>,
@@ -81,17 +83,17 @@
 }
 
 impl Fleet {
-    /// The state of the endpoint, where it was used.
+    /// The state of an endpoint; `None` if it has not been used recently.
     pub fn get(&self, name: &str) -> Option<&EndpointState> {
         self.endpoints.get(name)
     }
 
-    /// The state of every endpoint used lately, for administration.
+    /// The state of every recently used endpoint, for the administration interface.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &EndpointState)> {
         self.endpoints.iter()
     }
 
-    /// The estimate of a stage over all endpoints.
+    /// Estimated time of a stage over all endpoints.
     pub fn stage_estimate(&self, stage: u64, size: SizeClass) -> Option<&Estimate> {
         self.stages.get(&(stage, size))
     }
@@ -105,18 +107,18 @@
         state
     }
 
-    /// An attempt was sent.
+    /// Records that an attempt was sent to the endpoint.
     pub fn sent(&mut self, name: &str, now: Timestamp) {
         self.entry(name, now).in_flight += 1;
     }
 
-    /// An attempt ended, in whichever way.
+    /// Records that an attempt ended, successfully or not.
     pub fn ended(&mut self, name: &str, now: Timestamp) {
         let state = self.entry(name, now);
         state.in_flight = state.in_flight.saturating_sub(1);
     }
 
-    /// The agent spoke: it is not suspected any more.
+    /// Records a reply of the agent, which clears the suspicion of the endpoint.
     pub fn heard(&mut self, name: &str, from: Incarnation, load: Option<Load>, now: Timestamp) {
         let state = self.entry(name, now);
         if state.incarnation != from {
@@ -131,7 +133,8 @@
         }
     }
 
-    /// The agent could not be reached or its endpoint failed; returns whether that is news.
+    /// Records that the agent could not be reached or that its endpoint failed. Returns whether the
+    /// endpoint was not already suspected.
     pub fn failed(&mut self, name: &str, now: Timestamp) -> bool {
         let state = self.entry(name, now);
         let news = !state.is_suspected(now);
@@ -142,7 +145,8 @@
         news
     }
 
-    /// The agent said that it takes no new work; returns whether that is news.
+    /// Records that the agent announced that it accepts no new work. Returns whether the endpoint
+    /// was not already known to be leaving.
     pub fn leaving(&mut self, name: &str, now: Timestamp) -> bool {
         let state = self.entry(name, now);
         let news = !state.is_leaving(now);
@@ -150,7 +154,7 @@
         news
     }
 
-    /// A stage took this long there.
+    /// Records the measured time of a stage at the endpoint.
     pub fn measured(
         &mut self,
         name: &str,
@@ -164,7 +168,7 @@
         self.stages.entry((stage, size)).or_default().add(took);
     }
 
-    /// Lets go of endpoints that were not used for long.
+    /// Removes endpoints without attempts in flight that have been unused for [`FORGET_AFTER`].
     pub fn forget_unused(&mut self, now: Timestamp) {
         self.endpoints
             .retain(|_, e| e.in_flight > 0 || now.saturating_sub(e.used_at) < FORGET_AFTER);
--- a/src/invariant.rs
+++ b/src/invariant.rs
@@ -1,67 +1,70 @@
-//! Invariants asserted in every build: counted where violated, fatal in debug builds and so in tests.
+//! Invariants checked in every build. Violations are counted, and panic in debug builds, which
+//! includes tests.
 
 use snafu::Snafu;
 
-/// A promise that the program itself found broken.
+/// A violated invariant.
 #[derive(Debug, Snafu, Clone, PartialEq, Eq)]
 pub enum Violation {
-    /// An attempt that may not be repeated was dispatched without a proof that the one before did not run.
+    /// A stage that may not be repeated was dispatched again without proof that the previous
+    /// attempt did not run.
     #[snafu(display("request {request} stage {stage}: dispatched again without proof"))]
     DispatchWithoutProof {
-        /// The request.
+        /// Id of the request.
         request: String,
-        /// The stage's position.
+        /// Index of the stage in its pipeline.
         stage: usize,
     },
-    /// "Not run" was about to be said of a request of which a stage was handed over.
-    #[snafu(display("request {request}: would say not_run after a hand-over"))]
+    /// A request was about to be reported as not run although one of its stages had been handed
+    /// over to an endpoint.
+    #[snafu(display("request {request}: would be reported as not_run after a hand-over"))]
     FalseNotRun {
-        /// The request.
+        /// Id of the request.
         request: String,
     },
-    /// A request was about to get a second final answer.
+    /// A second final response was about to be sent for a request.
     #[snafu(display("request {request}: would be answered twice"))]
     AnsweredTwice {
-        /// The request.
+        /// Id of the request.
         request: String,
     },
-    /// An attempt was about to be handed over twice, or after it was refused.
+    /// An attempt was about to be handed over to its endpoint twice, or after it had been refused.
     #[snafu(display("attempt {attempt}: would be handed over twice"))]
     HandedOverTwice {
-        /// The attempt.
+        /// Id of the attempt.
         attempt: String,
     },
-    /// A result whose bytes are not those that the agent digested.
+    /// The bytes of an adopted result do not match the digest from the agent.
     #[snafu(display("request {request}: result adopted with a wrong digest"))]
     WrongResult {
-        /// The request.
+        /// Id of the request.
         request: String,
     },
-    /// A piece was about to be sent without every result that it needs.
-    #[snafu(display("request {request} stage {stage}: a piece would lack inputs"))]
+    /// A piece was about to be sent without all of its input results.
+    #[snafu(display("request {request} stage {stage}: a piece would be sent with missing inputs"))]
     MissingInputs {
-        /// The request.
+        /// Id of the request.
         request: String,
-        /// The stage's position.
+        /// Index of the stage in its pipeline.
         stage: usize,
     },
-    /// A configuration older than the one in force was about to be applied.
-    #[snafu(display("configuration {from} would go back to {to}"))]
+    /// A configuration that is not newer than the one in force was about to be applied.
+    #[snafu(display("configuration version {from} would be replaced by version {to}"))]
     ConfigReverted {
-        /// The version in force.
+        /// Version in force.
         from: u64,
-        /// The older version.
+        /// Version that was about to be applied.
         to: u64,
     },
 }
 
-/// Counts a violation; a debug build stops there.
+/// Counts a violation and panics in debug builds.
 pub fn violated(violation: &Violation) {
     metrics::counter!(crate::metrics::INVARIANT_VIOLATIONS).increment(1);
     debug_assert!(false, "invariant violated: {violation}");
 }
 
-/// Asserts `$holds`, and otherwise records the violation; evaluates to whether it held.
+/// Records `$violation` if the condition `$holds` is false; evaluates to the condition.
 #[macro_export]
 macro_rules! invariant {
     ($holds:expr, $violation:expr) => {{
--- a/src/policy/admit.rs
+++ b/src/policy/admit.rs
@@ -1,4 +1,5 @@
-//! Admission: rules, limits and the whole path's predicted finish, before the first stage runs.
+//! Admission control: rules, rate limits and the predicted completion time of the complete pipeline
+//! are checked before the first stage runs.
 
 use std::time::Duration;
 
@@ -14,49 +15,50 @@
 use crate::refusal::{Reason, Refusal};
 use crate::view::{PipelineView, View};
 
-/// When to come back after a refusal that time alone won't mend.
+/// Retry delay after a refusal that only a change of the configuration can resolve.
 const RETRY_CONFIGURED: Duration = Duration::from_secs(30);
-/// When to come back where nothing is known of the load.
+/// Retry delay if the load of the pool is unknown.
 const RETRY_UNKNOWN: Duration = Duration::from_millis(500);
-/// The shortest time to come back after a refusal for load.
+/// Minimum retry delay after a refusal because of load.
 const RETRY_SHORTEST: Duration = Duration::from_millis(50);
 
-/// Predictions are means; this share of the time left makes room for what takes longer.
+/// Share of the remaining time that the predicted time may use. Predictions are means; the rest is
+/// a margin for requests that take longer.
 const CONFIDENT_SHARE: f64 = 0.9;
 
-/// What admission looks at.
+/// Request to be admitted, with what the decision depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a> {
     /// The configuration.
     pub view: &'a View,
-    /// The pipeline asked for.
+    /// The requested pipeline.
     pub pipeline: &'a PipelineView,
-    /// Who asks.
+    /// The caller's organisation.
     pub organisation: &'a Organisation,
-    /// The request's own labels.
+    /// Labels of the request.
     pub labels: &'a Labels,
-    /// The size of its input.
+    /// Size class of the input.
     pub size: SizeClass,
-    /// Time left.
+    /// Time until the deadline.
     pub left: Duration,
-    /// Gateways that share the limits.
+    /// Number of gateways that share the limits.
     pub gateways: usize,
 }
 
-/// What was settled for an admitted request.
+/// Result of a successful admission.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Admitted {
-    /// Positions of the rules that match.
+    /// Indexes of the matching rules.
     pub rules: Vec<usize>,
-    /// Its priority.
+    /// Priority of the request.
     pub priority: u8,
-    /// The rule that set it.
+    /// Name of the rule that set the priority; `None` if the pipeline's priority applies.
     pub priority_rule: Option<String>,
-    /// Predicted time to the end.
+    /// Predicted time to completion.
     pub predicted: Duration,
 }
 
-/// Admits a request or refuses it; nothing of a refused one has run.
+/// Admits or refuses a request. No stage of a refused request has run.
 pub fn admit(
     candidate: &Candidate<'_>,
     fleet: &Fleet,
@@ -163,7 +165,7 @@
     Err(Refusal::not_run(reason, spread(total - budget, rng)))
 }
 
-/// Spreads the time to come back, so that callers refused together don't return together.
+/// Adds jitter to a retry delay, so that callers refused at the same time don't all retry at once.
 pub fn spread(retry_after: Duration, rng: &mut impl Rng) -> Duration {
     retry_after.max(RETRY_SHORTEST).mul_f64(rng.random_range(1.0..1.5))
 }
--- a/src/policy/budget.rs
+++ b/src/policy/budget.rs
@@ -1,9 +1,10 @@
-//! The retry budget: a token bucket that first tries fill, so that retries can't feed an overload.
+//! The retry budget: a token bucket that is filled by first attempts, so that retries can't amplify
+//! an overload.
 
-/// Retries that may be made at once after a quiet time.
+/// Capacity of the bucket: the largest burst of retries.
 const BUDGET_CAP: f64 = 20.0;
 
-/// Tokens for second tries.
+/// Token bucket for retries; starts full.
 #[derive(Debug)]
 pub struct RetryBudget {
     tokens: f64,
@@ -16,12 +17,12 @@
 }
 
 impl RetryBudget {
-    /// A first try was made; it earns `fraction` of a retry.
+    /// Records a first attempt, which adds `fraction` of a token.
     pub fn earn(&mut self, fraction: f64) {
         self.tokens = (self.tokens + fraction).min(BUDGET_CAP);
     }
 
-    /// Takes a token, where there is one.
+    /// Takes a token for a retry; returns false if the budget is exhausted.
     pub fn spend(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
@@ -30,7 +31,7 @@
         true
     }
 
-    /// Retries that could be made now.
+    /// Number of tokens that remain.
     pub const fn left(&self) -> f64 {
         self.tokens
     }
--- a/src/policy/explain.rs
+++ b/src/policy/explain.rs
@@ -1,4 +1,4 @@
-//! Decisions as they are kept and shown: a decision is its explanation.
+//! Records of requests and their decisions, and the explanations generated from them for operators.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -11,62 +11,62 @@
 use crate::refusal::Refusal;
 use crate::view::Pool;
 
-/// What became of one candidate of a decision.
+/// Outcome of one candidate in a routing decision.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Verdict {
-    /// It was chosen.
+    /// The candidate was chosen.
     Chosen {
-        /// Predicted time to the result.
+        /// Predicted time until the result.
         predicted: Duration,
     },
-    /// It was compared and another one was predicted to be faster or cheaper.
+    /// The candidate was compared, but another one was predicted to be faster or cheaper.
     Slower {
-        /// Predicted time to the result.
+        /// Predicted time until the result.
         predicted: Duration,
     },
-    /// It might have run the stage but was not among the few compared.
+    /// The candidate was usable but not in the sample that was compared.
     NotCompared,
-    /// The stage was sent there before.
+    /// The stage was already sent to the candidate.
     Tried,
-    /// It failed lately.
+    /// The candidate failed recently.
     Suspected,
-    /// Its agent takes no new work.
+    /// The candidate's agent accepts no new work.
     Leaving,
 }
 
-/// One candidate and its verdict.
+/// A candidate and its verdict.
 #[derive(Debug, Clone)]
 pub struct Alternative {
-    /// The candidate.
+    /// The candidate endpoint.
     pub endpoint: Arc<Endpoint>,
-    /// What became of it.
+    /// Outcome of the candidate.
     pub verdict: Verdict,
 }
 
-/// Where one attempt of a stage went, and what else was considered.
+/// Routing decision for one attempt of a stage, with all candidates.
 #[derive(Debug, Clone)]
 pub struct Decision {
-    /// The stage.
+    /// Name of the stage.
     pub stage: String,
-    /// The pool of candidates, with its selector.
+    /// The pool of candidates.
     pub pool: Arc<Pool>,
-    /// The `require` rule that narrowed the pool.
+    /// Name of the `require` rule that restricted the pool.
     pub rule: Option<String>,
-    /// The candidates.
+    /// All candidates, with their verdicts.
     pub alternatives: Vec<Alternative>,
-    /// The position of the chosen one.
+    /// Index of the chosen candidate; `None` if none was usable.
     pub chosen: Option<usize>,
-    /// When it was decided.
+    /// Time of the decision.
     pub at: Timestamp,
 }
 
 impl Decision {
-    /// The endpoint that was chosen.
+    /// The chosen endpoint.
     pub fn endpoint(&self) -> Option<&Arc<Endpoint>> {
         self.chosen.map(|i| &self.alternatives[i].endpoint)
     }
 
-    /// The predicted time to its result.
+    /// Predicted time until the result from the chosen endpoint.
     pub fn predicted(&self) -> Option<Duration> {
         match self.chosen.map(|i| self.alternatives[i].verdict) {
             Some(Verdict::Chosen { predicted }) => Some(predicted),
@@ -75,84 +75,84 @@
     }
 }
 
-/// One thing that happened to a request.
+/// One event in the processing of a request.
 #[derive(Debug, Clone)]
 pub enum Step {
-    /// It was admitted.
+    /// The request was admitted.
     Admitted {
-        /// The configuration that it was decided under.
+        /// Version of the configuration that was used.
         config: u64,
-        /// Its priority and, where one set it, the rule.
+        /// Priority of the request.
         priority: u8,
-        /// The rule that set the priority.
+        /// Name of the rule that set the priority, if one did.
         priority_rule: Option<String>,
-        /// Predicted time to the end.
+        /// Predicted time to completion.
         predicted: Duration,
-        /// Time left.
+        /// Time until the deadline.
         left: Duration,
     },
     /// A stage was sent to an endpoint.
     Sent(Decision),
-    /// The endpoint began it.
+    /// The endpoint started the stage.
     Begun {
-        /// Time in the agent's queue and on the way.
+        /// Time in transit and in the agent's queue.
         waited: Duration,
     },
     /// The stage ended with a result.
     StageDone {
-        /// The stage.
+        /// Name of the stage.
         stage: String,
-        /// Time at the endpoint.
+        /// Service time at the endpoint.
         service: Duration,
-        /// Bytes of the result.
+        /// Length of the result, in bytes.
         length: u64,
     },
-    /// The agent refused or gave up.
+    /// The agent refused or aborted the attempt.
     AgentRefused {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: String,
-        /// Why.
+        /// Reason returned by the agent.
         reason: AgentReason,
     },
-    /// The connection to the agent was lost.
+    /// The connection to the agent failed.
     Lost {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: String,
     },
-    /// The attempt waited too long and was taken back.
+    /// The attempt waited too long and was revoked.
     Revoked {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: String,
     },
-    /// The whole answer went to the caller.
+    /// The complete response was sent to the caller.
     Completed,
-    /// The refusal went to the caller.
+    /// The refusal was sent to the caller.
     Refused(Refusal),
 }
 
-/// Everything that happened to a request, with the times since it came.
+/// All recorded events of a request.
 #[derive(Debug, Clone)]
 pub struct Record {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
-    /// Its pipeline.
+    /// Name of the pipeline.
     pub pipeline: String,
-    /// Its organisation.
+    /// Name of the organisation.
     pub organisation: String,
-    /// When it came.
+    /// Time of arrival.
     pub arrived: Timestamp,
-    /// What happened, and when.
+    /// Events with their times, in order.
     pub steps: Vec<(Timestamp, Step)>,
 }
 
 impl Record {
-    /// Whether the request has its final answer.
+    /// Whether the request has received its final response.
     pub fn is_ended(&self) -> bool {
         matches!(self.steps.last(), Some((_, Step::Completed | Step::Refused(_))))
     }
 }
 
-/// The bounded memory of requests; the oldest is let go of first.
+/// Bounded store of request records; the oldest record is evicted first.
 #[derive(Debug)]
 pub struct RecordStore {
     records: HashMap<u64, Arc<Record>>,
@@ -161,12 +161,12 @@
 }
 
 impl RecordStore {
-    /// A memory of `capacity` requests.
+    /// Creates a store for up to `capacity` records.
     pub fn new(capacity: usize) -> Self {
         Self { records: HashMap::new(), order: VecDeque::new(), capacity }
     }
 
-    /// Keeps an ended request's record.
+    /// Stores the record of a request that has ended.
     pub fn keep(&mut self, record: Record) {
         let number = record.id.number;
         self.records.insert(number, Arc::new(record));
@@ -178,52 +178,52 @@
         }
     }
 
-    /// The record of a request, while it is kept.
+    /// Looks up a record by request number; `None` if it was evicted.
     pub fn get(&self, number: u64) -> Option<&Arc<Record>> {
         self.records.get(&number)
     }
 
-    /// The newest records first.
+    /// The `count` newest records, newest first.
     pub fn recent(&self, count: usize) -> impl Iterator<Item = &Arc<Record>> {
         self.order.iter().rev().take(count).filter_map(|n| self.records.get(n))
     }
 }
 
-/// A record as operators get it.
+/// Explanation of a request for operators.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Explanation {
-    /// The request.
+    /// Id of the request.
     pub request: String,
-    /// Its pipeline.
+    /// Name of the pipeline.
     pub pipeline: String,
-    /// Its organisation.
+    /// Name of the organisation.
     pub organisation: String,
-    /// Whether it has its final answer.
+    /// Whether the request has received its final response.
     pub ended: bool,
-    /// What happened, in order.
+    /// Events, in order.
     pub steps: Vec<ExplainedStep>,
 }
 
 /// One step of an explanation.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ExplainedStep {
-    /// Milliseconds since the request came.
+    /// Milliseconds since the arrival of the request.
     pub at_ms: f64,
-    /// What happened, in one sentence.
+    /// One-sentence description of the event.
     pub what: String,
-    /// For a decision, the alternatives and what ruled each out.
+    /// For a routing decision, the candidates with their verdicts.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub alternatives: Vec<ExplainedAlternative>,
 }
 
-/// One alternative of an explained decision.
+/// One candidate of an explained routing decision.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ExplainedAlternative {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: String,
-    /// Its labels.
+    /// Labels of the endpoint.
     pub labels: crate::config::Labels,
-    /// What became of it.
+    /// Description of the verdict.
     pub verdict: String,
 }
 
@@ -266,10 +266,10 @@
         Verdict::Slower { predicted } => {
             format!("predicted {:.2} ms, not the best", millis(predicted))
         }
-        Verdict::NotCompared => "not among the few compared".to_owned(),
+        Verdict::NotCompared => "not in the compared sample".to_owned(),
         Verdict::Tried => "tried before".to_owned(),
-        Verdict::Suspected => "suspected: it failed lately".to_owned(),
-        Verdict::Leaving => "leaving: it takes no new work".to_owned(),
+        Verdict::Suspected => "suspected: it failed recently".to_owned(),
+        Verdict::Leaving => "leaving: it accepts no new work".to_owned(),
     }
 }
 
@@ -285,14 +285,14 @@
             )
         }
         Step::Sent(decision) => sent_sentence(decision),
-        Step::Begun { waited } => format!("begun after waiting {:.2} ms", millis(*waited)),
+        Step::Begun { waited } => format!("started after waiting {:.2} ms", millis(*waited)),
         Step::StageDone { stage, service, length } => {
             format!("{stage} done: {length} bytes, {:.2} ms at the endpoint", millis(*service))
         }
         Step::AgentRefused { endpoint, reason } => given_up_sentence(endpoint, *reason),
-        Step::Lost { endpoint } => format!("the connection to the agent of {endpoint} was lost"),
-        Step::Revoked { endpoint } => format!("taken back from {endpoint}: it waited too long"),
-        Step::Completed => "the whole answer went to the caller".to_owned(),
+        Step::Lost { endpoint } => format!("the connection to the agent of {endpoint} failed"),
+        Step::Revoked { endpoint } => format!("revoked at {endpoint}: it waited too long"),
+        Step::Completed => "the complete response was sent to the caller".to_owned(),
         Step::Refused(refusal) => refusal_sentence(refusal),
     }
 }
@@ -300,17 +300,17 @@
 fn given_up_sentence(endpoint: &str, reason: AgentReason) -> String {
     match reason {
         AgentReason::WrongIncarnation => {
-            format!("the agent of {endpoint} was greeted and named its life: asked again")
+            format!("the agent of {endpoint} has another incarnation: sent again")
         }
-        AgentReason::Stalled => format!("{endpoint} stalled: given up there"),
-        other => format!("the agent of {endpoint} gave it up: {}", other.as_str()),
+        AgentReason::Stalled => format!("{endpoint} stalled: attempt abandoned"),
+        other => format!("the agent of {endpoint} ended the attempt: {}", other.as_str()),
     }
 }
 
 fn sent_sentence(decision: &Decision) -> String {
     let pool = &decision.pool;
     let rule = decision.rule.as_ref().map_or(String::new(), |r| format!(" under rule {r:?}"));
-    let to = decision.endpoint().map_or("nowhere", |e| &e.name);
+    let to = decision.endpoint().map_or("no endpoint", |e| &e.name);
     format!(
         "{} sent to {to}: selector {:?}{rule} matches {} endpoints ({} leaving)",
         decision.stage, pool.selector, pool.matching, pool.leaving
@@ -320,5 +320,5 @@
 fn refusal_sentence(refusal: &Refusal) -> String {
     let reason = serde_json::to_string(&refusal.reason).unwrap_or_default();
     let ran = serde_json::to_string(&refusal.ran).unwrap_or_default();
-    format!("refused: {reason}, ran {ran}, come back in {:.0} ms", millis(refusal.retry_after))
+    format!("refused: {reason}, ran {ran}, retry after {:.0} ms", millis(refusal.retry_after))
 }
--- a/src/policy/limit.rs
+++ b/src/policy/limit.rs
@@ -1,4 +1,5 @@
-//! Limits of organisations: token buckets, each gateway holding an equal share of the fleet's limit.
+//! Rate limits of organisations: token buckets; each gateway enforces an equal share of the
+//! fleet-wide limit.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,7 +7,8 @@
 use crate::config::Limit;
 use crate::message::Timestamp;
 
-/// Buckets kept at most; full ones are let go of first.
+/// Maximum number of buckets; the half that was used least recently is evicted when it is reached.
+/// Those buckets have had the most time to refill.
 const MAX_BUCKETS: usize = 65_536;
 
 #[derive(Debug)]
@@ -15,21 +17,22 @@
     filled_at: Timestamp,
 }
 
-/// The buckets of one gateway, by limit and organisation.
+/// Token buckets of one gateway, by names of the limit and the organisation.
 #[derive(Debug, Default)]
 pub struct Limiter {
     buckets: HashMap<(String, String), Bucket>,
 }
 
-/// A bucket that is empty: when the next token comes.
+/// Error: the bucket is empty.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Empty {
-    /// Time until a request may pass.
+    /// Time until the next token is available, at most one hour.
     pub retry_after: Duration,
 }
 
 impl Limiter {
-    /// Takes one token of `limit` for `organisation`, where `gateways` share the limit.
+    /// Takes one token of `limit` for `organisation`; `gateways` is the number of gateways that
+    /// share the limit.
     pub fn take(
         &mut self,
         limit: &Limit,
@@ -54,12 +57,12 @@
         Ok(())
     }
 
-    /// Buckets in memory.
+    /// Number of buckets in memory.
     pub fn len(&self) -> usize {
         self.buckets.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no buckets.
     pub fn is_empty(&self) -> bool {
         self.buckets.is_empty()
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,5 @@
-//! The decisions: pure functions of the view, the fleet and the time, each with its reasons.
+//! Admission and routing decisions: pure functions of the compiled configuration, the endpoint
+//! states and the time. Each decision includes its explanation.
 
 pub mod admit;
 pub mod budget;
--- a/src/policy/path.rs
+++ b/src/policy/path.rs
@@ -1,114 +1,118 @@
-//! Admission over a whole graph of stages before the first one is begun.
+//! Admission of a complete stage graph before its first stage is started.
 //!
-//! What is begun holds results at their makers while it waits for its next stage. To begin more than
-//! can end in time is worse than to refuse: so a request is admitted only if its predicted end meets
-//! its objective and its results find room at the time when each stage is planned to run, and is
-//! refused at once otherwise.
+//! The results of a started request occupy memory at the producing endpoints while the request
+//! waits for its next stage. Starting more requests than can complete in time is therefore worse
+//! than refusing some: a request is admitted only if its predicted completion meets its objective
+//! and its results fit into the result memory at the time each stage is planned to run; otherwise
+//! it is refused at once.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use super::timeline::Timeline;
 
-/// Predictions lie high where calls fill up under load: so much of the time to the objective may be
-/// predicted.
+/// Share of the time to the objective that the predicted time may use. It is above 1 because
+/// predictions are too high under load, when calls are filled with more pieces.
 const CONFIDENT_SHARE: f64 = 1.1;
-/// Of a pool's room, so much may be planned for: endpoints fill unevenly, and plans miss.
+/// Share of a pool's result memory that may be planned for; the rest is a margin for uneven use of
+/// the endpoints and for prediction errors.
 const ROOM_PLANNED: f64 = 0.7;
-/// A stage is planned to wait for room so long at most.
+/// Longest time that a stage may be planned to wait for result memory.
 const ROOM_WAIT: Duration = Duration::from_millis(100);
-/// When to come back where no room is planned soon.
+/// Retry delay if no result memory is expected to be free within the timeline.
 const NO_ROOM_RETRY: Duration = Duration::from_millis(400);
-/// A call has fetched its inputs so long after it began.
+/// Time that a call takes to fetch its inputs.
 pub const FETCHING: Duration = Duration::from_millis(40);
-/// A stage that stands alone is begun so much earlier than it must be to end with the others: its
-/// results only wait for them.
+/// Margin by which an isolated stage is started earlier than needed to complete together with the
+/// other stages. A still earlier start would only hold its results for longer.
 pub const HOLD_SLACK: Duration = Duration::from_millis(120);
-/// The last results are kept for so long after the stages' end: until the request is with an endpoint,
-/// which has fetched them.
+/// How long the final results are kept after the last stage: until the request has been sent to an
+/// endpoint that has fetched them.
 pub const HANDED_ON: Duration = Duration::from_millis(90);
-/// Each step down in priority leaves so much of time and room to the more urgent.
+/// Share of time and result memory that is reserved for more urgent requests, per priority level.
 const LEFT_TO_MORE_URGENT: f64 = 0.12;
-/// At least this share is open to every priority.
+/// Smallest share that is available to any priority.
 const OPEN_TO_ALL: f64 = 0.6;
-/// The shortest time to come back.
+/// Minimum retry delay.
 const SHORTEST_RETRY: Duration = Duration::from_millis(150);
-/// Work is never predicted to wait longer.
+/// Upper limit of predicted waiting times.
 const LONGEST_WAIT: Duration = Duration::from_secs(60);
-/// The longest time to come back.
+/// Maximum retry delay.
 const LONGEST_RETRY: Duration = Duration::from_secs(3);
 
-/// One stage of a request, and the pool that makes it as it stands now.
+/// One stage of a request and the current state of the pool that runs it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StageLoad {
-    /// Positions of the stages before.
+    /// Indexes of the stages whose results this stage needs.
     pub after: Vec<usize>,
     /// Whether the stage has no pieces or is done.
     pub is_done: bool,
-    /// Calls that the pool's endpoints run at once.
+    /// Number of calls that the pool's endpoints run concurrently.
     pub slots: f64,
-    /// Time of slots that is promised to others and not used yet.
+    /// Slot time of already admitted work that has not been used yet.
     pub backlog: Duration,
-    /// Time of the call that the stage needs.
+    /// Duration of the call that runs the stage.
     pub call: Duration,
-    /// Bytes for results in the pool.
+    /// Result memory of the pool, in bytes.
     pub room: f64,
-    /// Bytes that are expected to be taken, over time.
+    /// Expected use of the result memory over time, in bytes.
     pub taken: Arc<Timeline>,
-    /// Bytes that this stage needs.
+    /// Result memory that this stage needs, in bytes.
     pub wanted: f64,
 }
 
-/// Why a path is not begun.
+/// Why the stages of a request are not started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PathRefusal {
-    /// No endpoint of a pool takes work.
+    /// A pool has no endpoint that accepts work.
     NoEndpoint,
-    /// Its answer would start after the objective.
+    /// The response is predicted to start after the objective.
     WouldBeLate,
-    /// Its results would not find room.
+    /// The results would not fit into the result memory in time.
     NoRoom,
 }
 
-/// The decision, with what it was decided by.
+/// Admission decision with the values that it is based on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PathDecision {
-    /// Why it is not begun.
+    /// Reason of a refusal; `None` if the request is admitted.
     pub refusal: Option<PathRefusal>,
-    /// The stage whose pool is narrowest.
+    /// Index of the stage whose results don't fit, or else of the stage whose pool has the highest
+    /// share of its result memory in use.
     pub narrowest: usize,
-    /// Predicted time to the answer's start.
+    /// Predicted time until the response starts.
     pub predicted: Duration,
-    /// The share of the narrowest pool's room that is taken when this request needs it, with it.
+    /// Share of that pool's result memory in use when the stage runs, including this request; 0 if
+    /// the results don't fit.
     pub room_share: f64,
-    /// When to come back.
+    /// Delay after which the caller may retry.
     pub retry_after: Duration,
 }
 
-/// The share of time and room that is open to a priority; 0 is the most urgent.
+/// Share of time and result memory that is available to a priority; 0 is the most urgent.
 pub fn open_share(priority: u8) -> f64 {
     (1.0 - LEFT_TO_MORE_URGENT * f64::from(priority)).max(OPEN_TO_ALL)
 }
 
-/// When a stage is predicted to run.
+/// Planned run of a stage.
 #[derive(Debug, Clone, Copy, Default)]
 struct Run {
     end: Duration,
-    /// How much of the wait before it is for room.
+    /// Part of the waiting time that is spent waiting for result memory.
     for_room: Duration,
-    /// The share of the room that is taken then, with this stage.
+    /// Share of the result memory in use during the run, including this stage.
     room_share: f64,
 }
 
-/// A stage whose results find no room in time.
+/// A stage whose results don't fit into the result memory in time.
 #[derive(Debug, Clone, Copy)]
 struct NoRoom {
     stage: usize,
-    /// How long after it wants it there will be room, where that can be told.
+    /// Time from when the stage could start until memory is free; `None` if it is unknown.
     wait: Option<Duration>,
 }
 
-/// Plans each stage after those that it needs, those that are held back last.
+/// Plans each stage after the stages that it depends on; deferred stages are planned last.
 fn plan(stages: &[StageLoad], after: Duration, open: f64) -> Result<Vec<Run>, NoRoom> {
     let mut runs = vec![Run::default(); stages.len()];
     let (held_back, others): (Vec<usize>, Vec<usize>) =
@@ -127,7 +131,7 @@
             ready
         };
         let wanted_at = earliest.max(ready + stage.waiting());
-        // Results are kept until the next stage has fetched them, or the answer begins.
+        // Results are kept until the next stage has fetched them or the response starts.
         let next = stages.iter().filter(|s| s.after.contains(&index)).map(StageLoad::waiting).max();
         let length = stage.call + next.map_or(after.min(HANDED_ON), |waiting| waiting + FETCHING);
         let bound = (stage.room * ROOM_PLANNED * open).max(stage.wanted);
@@ -145,19 +149,19 @@
     Ok(runs)
 }
 
-/// Whether a stage neither needs another one nor is needed by one.
+/// Whether a stage is isolated: it depends on no other stage and no other stage depends on it.
 fn stands_alone(stages: &[StageLoad], index: usize) -> bool {
     stages[index].after.is_empty() && !stages.iter().any(|s| s.after.contains(&index))
 }
 
 impl StageLoad {
-    /// The time that work for it waits for an endpoint.
+    /// Expected time that the stage waits for a free slot.
     fn waiting(&self) -> Duration {
         self.backlog.div_f64(self.slots.max(0.01)).min(LONGEST_WAIT)
     }
 }
 
-/// When each stage is predicted to end, from now, where nothing waits.
+/// Time until the last stage ends, from now, if no stage has to wait.
 fn work(stages: &[StageLoad]) -> Duration {
     let mut ends: Vec<Duration> = Vec::with_capacity(stages.len());
     for stage in stages {
@@ -167,7 +171,8 @@
     ends.into_iter().max().unwrap_or_default()
 }
 
-/// Decides whether a request's stages are begun; `after` is the time from their end to the answer.
+/// Decides whether the stages of a request are started; `after` is the time from the end of the
+/// last stage to the start of the response.
 pub fn admit_path(
     stages: &[StageLoad],
     after: Duration,
@@ -188,7 +193,8 @@
     let room_share = runs.get(narrowest).map_or(0.0, |r| r.room_share);
     let predicted = runs.iter().map(|r| r.end).max().unwrap_or_default() + after;
     let for_room = runs.iter().map(|r| r.for_room).sum();
-    // Waiting, not work, is what the less urgent must leave.
+    // The reserved share applies to the waiting time only; the work takes the same time at every
+    // priority.
     let budget = to_objective.mul_f64(CONFIDENT_SHARE);
     let work = work(stages) + after;
     let allowed = work + budget.saturating_sub(work).mul_f64(open);
--- a/src/policy/place.rs
+++ b/src/policy/place.rs
@@ -1,47 +1,48 @@
-//! Chooses the endpoint of a request: prompts go where their shared parts are kept, bounded by load;
-//! everything else goes where least is running.
+//! Endpoint selection with prefix affinity: a prompt is sent to the endpoint that caches its shared
+//! prefix, as long as the load of that endpoint is within a bound; all other requests are sent to
+//! the least loaded endpoint.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// An endpoint may hold so many times the mean load of its pool before prompts go elsewhere.
+/// Load up to which an endpoint receives prompts by prefix, as a multiple of its pool's mean load.
 const LOAD_BOUND: f64 = 1.3;
-/// And so many requests more.
+/// Number of requests that is added to this bound, so that it leaves some slack at low loads.
 const LOAD_SLACK: f64 = 6.0;
-/// Another data centre counts as so much of a slot for what is not kept anywhere.
+/// Cost of another data centre when the least loaded endpoint is chosen, in load per slot.
 const REMOTE: f64 = 0.15;
 
-/// One endpoint that may be chosen.
+/// Candidate endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Place<'a> {
-    /// The endpoint's id.
+    /// Id of the endpoint.
     pub id: &'a str,
-    /// Requests that run or wait there, as far as is known.
+    /// Known number of running and queued requests.
     pub load: f64,
-    /// Requests that it runs at once.
+    /// Number of requests that the endpoint runs concurrently.
     pub slots: f64,
-    /// Whether it failed lately.
+    /// Whether the endpoint failed recently.
     pub avoided: bool,
-    /// Whether it stands in the own data centre.
+    /// Whether the endpoint is in this gateway's data centre.
     pub is_near: bool,
-    /// Time of its answers, relative to the pool's.
+    /// Response time relative to that of the pool.
     pub slowness: f64,
 }
 
-/// What a choice was made by.
+/// Reason for the choice of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Because {
-    /// The shared part of its prompt belongs there.
+    /// First choice by the hash of the shared prefix.
     Prefix,
-    /// Its own place is loaded: the second home of the shared part.
+    /// Second choice by the hash of the shared prefix; the first one exceeds the load bound.
     SecondHome,
-    /// Least is running there.
+    /// The endpoint is the least loaded one.
     LeastLoad,
-    /// Everything is avoided; least is running there.
+    /// All endpoints failed recently; the least loaded one was chosen.
     LastResort,
 }
 
 impl Because {
-    /// The word for logs.
+    /// Name of the reason in log events.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Prefix => "prefix",
@@ -52,7 +53,8 @@
     }
 }
 
-/// The position of the chosen place; `None` where there is none.
+/// Chooses an endpoint for a request, by its shared prefix if it has one. Returns the index of the
+/// endpoint; `None` if there are no candidates.
 pub fn place(places: &[Place<'_>], prefix: Option<&str>) -> Option<(usize, Because)> {
     let open: Vec<usize> = (0..places.len()).filter(|&i| !places[i].avoided).collect();
     if open.is_empty() {
@@ -74,7 +76,7 @@
     least_loaded(places, &open).map(|i| (i, Because::LeastLoad))
 }
 
-/// The two places with the highest weights for a shared part, the first one first.
+/// The two candidates with the highest rendezvous hash weights for a prefix, highest first.
 fn homes(places: &[Place<'_>], open: &[usize], seed: u64) -> (Option<usize>, Option<usize>) {
     let weight = |i: usize| xxh3_64_with_seed(places[i].id.as_bytes(), seed);
     let mut best: [Option<(u64, usize)>; 2] = [None; 2];
--- a/src/policy/predict.rs
+++ b/src/policy/predict.rs
@@ -1,29 +1,29 @@
-//! Estimates of how long a stage takes: decayed, by size class, with a high quantile.
+//! Estimates of stage times by input size class: an exponentially decayed mean and a high quantile.
 
 use std::time::Duration;
 
 use serde::Serialize;
 
-/// The weight of a new measurement in the typical time.
+/// Weight of a new measurement in the typical time.
 const GAIN: f64 = 0.1;
-/// The quantile that `high` follows.
+/// Quantile that `high` tracks.
 const HIGH_QUANTILE: f64 = 0.95;
-/// How far `high` moves for one measurement, as a share of the typical time.
+/// Step of `high` for one measurement, as a share of the typical time.
 const HIGH_STEP: f64 = 0.2;
 
-/// Inputs of similar length: the class is the position of the highest bit of the length in KiB.
+/// Class of inputs of similar length: the number of significant bits of the length in KiB.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 pub struct SizeClass(pub u8);
 
 impl SizeClass {
-    /// The class of an input of `len` bytes.
+    /// Returns the size class of an input of `len` bytes.
     pub const fn of(len: usize) -> Self {
         let kib = len >> 10;
         Self((usize::BITS - kib.leading_zeros()) as u8)
     }
 }
 
-/// A decayed estimate of one stage's time.
+/// Decayed estimate of the time that a stage takes.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Estimate {
     typical: f64,
@@ -32,7 +32,7 @@
 }
 
 impl Estimate {
-    /// Takes in a measurement.
+    /// Adds a measurement.
     pub fn add(&mut self, took: Duration) {
         let seconds = took.as_secs_f64();
         self.samples = self.samples.saturating_add(1);
@@ -49,17 +49,17 @@
         self.high = self.high.max(self.typical);
     }
 
-    /// The decayed mean.
+    /// The exponentially decayed mean.
     pub fn typical(&self) -> Duration {
         Duration::from_secs_f64(self.typical.max(0.0))
     }
 
-    /// About the 95th percentile.
+    /// Approximate 95th percentile.
     pub fn high(&self) -> Duration {
         Duration::from_secs_f64(self.high.max(0.0))
     }
 
-    /// Measurements taken in.
+    /// Number of measurements.
     pub const fn samples(&self) -> u32 {
         self.samples
     }
--- a/src/policy/route.rs
+++ b/src/policy/route.rs
@@ -1,4 +1,5 @@
-//! Chooses the endpoint of a stage: selectors give candidates, a few are compared by predicted finish.
+//! Endpoint selection for a stage: a few of the candidates that match its selector are sampled and
+//! compared by their predicted completion times.
 
 use std::time::Duration;
 
@@ -13,29 +14,30 @@
 use crate::message::Timestamp;
 use crate::view::{StageView, View};
 
-/// Queues differ between the endpoints of a pool; admission takes this many times the mean wait.
+/// Factor on the mean waiting time in predictions for admission, because queue lengths differ
+/// between the endpoints of a pool.
 const WAITING_MARGIN: f64 = 1.6;
 
-/// What a choice depends on, besides the fleet.
+/// Parameters of a routing decision, besides the endpoint states.
 #[derive(Debug, Clone, Copy)]
 pub struct Question<'a> {
     /// The configuration.
     pub view: &'a View,
-    /// The stage to be run.
+    /// The stage to run.
     pub stage: &'a StageView,
-    /// Positions of the rules that match the request.
+    /// Indexes of the rules that match the request.
     pub rules: &'a [usize],
-    /// The size of the stage's input.
+    /// Size class of the stage's input.
     pub size: SizeClass,
-    /// Endpoints that this stage was sent to before.
+    /// Names of the endpoints to which this stage was already sent.
     pub tried: &'a [String],
-    /// Counts the gateway's choices, for taking turns.
+    /// Sequence number of the gateway's routing decisions, for round-robin routing.
     pub turn: u64,
-    /// The time.
+    /// Current time.
     pub now: Timestamp,
 }
 
-/// Whether and why an endpoint is out of the question.
+/// Why an endpoint is excluded from the choice; `None` if it is usable.
 fn excluded(question: &Question<'_>, endpoint: &Endpoint, fleet: &Fleet) -> Option<Verdict> {
     if question.tried.contains(&endpoint.name) {
         return Some(Verdict::Tried);
@@ -47,7 +49,7 @@
     state.is_suspected(question.now).then_some(Verdict::Suspected)
 }
 
-/// Decides where a stage runs; the decision names every alternative and what ruled it out.
+/// Chooses the endpoint for a stage; the decision lists every candidate with its verdict.
 pub fn choose(question: &Question<'_>, fleet: &Fleet, rng: &mut impl Rng) -> Decision {
     let (pool, rule) = question.stage.pool_under(question.rules);
     let mut alternatives: Vec<Alternative> = pool
@@ -70,7 +72,8 @@
     }
 }
 
-/// Suspicion of too large a part of a pool says more about this process than about the pool.
+/// Lifts all suspicions if no other endpoint is usable or if more than `fraction` of the pool is
+/// suspected: the fault is then more likely in this process than in the endpoints.
 fn bound_suspicion(alternatives: &mut [Alternative], fraction: f64) {
     let suspected = alternatives.iter().filter(|a| a.verdict == Verdict::Suspected).count();
     let usable = alternatives.iter().any(|a| a.verdict == Verdict::NotCompared);
@@ -110,7 +113,7 @@
     Some(chosen)
 }
 
-/// Those of the open candidates that are compared.
+/// Selects the candidates to be compared from the usable ones.
 fn sample<'a>(
     policy: &Policy,
     open: &'a mut [usize],
@@ -131,8 +134,8 @@
     open.partial_shuffle(rng, count).0
 }
 
-/// Milliseconds until the finish, with the cost of the work added by the operator's weight; for the
-/// baselines, the gateway's own attempts in flight.
+/// Score of an endpoint, lower is better: milliseconds until completion plus the weighted cost of
+/// the work. The baseline algorithms use the gateway's own attempts in flight instead.
 fn score(finish: Duration, endpoint: &Endpoint, question: &Question<'_>, fleet: &Fleet) -> f64 {
     let policy = &question.view.config.policy;
     if policy.routing != Routing::Predicted {
@@ -142,7 +145,7 @@
     finish.as_secs_f64() * 1_000.0 + policy.cost_weight_ms * endpoint.cost * expected
 }
 
-/// The time of a stage at an endpoint once it runs there.
+/// Expected service time of a stage at an endpoint, without waiting and network time.
 pub fn service_time(
     question: &Question<'_>,
     state: Option<&EndpointState>,
@@ -158,7 +161,7 @@
     Duration::from_millis(question.stage.stage.expected_ms)
 }
 
-/// Predicted time from now to the result: distance, waiting and service.
+/// Predicted time until the result: network delay, waiting and service time.
 pub fn predict(question: &Question<'_>, endpoint: &Endpoint, fleet: &Fleet) -> Duration {
     let state = fleet.get(&endpoint.name);
     let service = service_time(question, state, fleet);
@@ -172,8 +175,9 @@
     service + Duration::from_secs_f64(distance + waiting)
 }
 
-/// The predicted time of a stage for a request that is admitted now, after all that were admitted
-/// before and `gateways` as many; `None` when nothing may run there.
+/// Predicted time of a stage for a request that is admitted now. It queues behind all earlier
+/// admitted requests, assuming that each of the `gateways` gateways has the same demand. `None` if
+/// the pool has no endpoint that accepts work.
 pub fn predict_pool(
     question: &Question<'_>,
     fleet: &Fleet,
--- a/src/policy/timeline.rs
+++ b/src/policy/timeline.rs
@@ -1,13 +1,13 @@
-//! How much of something bounded is expected to be taken over the next seconds.
+//! Forecast of the use of a bounded resource over the next seconds.
 
 use std::time::Duration;
 
-/// The length of one step.
+/// Length of one time step.
 pub const STEP: Duration = Duration::from_millis(50);
-/// Steps that are looked ahead.
+/// Number of time steps in a timeline.
 pub const STEPS: usize = 120;
 
-/// Expected use from now on, in steps of [`STEP`]; what comes later is not known.
+/// Expected use of a resource from now on, in steps of [`STEP`]; later use is unknown.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Timeline {
     taken: Vec<f64>,
@@ -19,23 +19,23 @@
     }
 }
 
-/// The first step that begins at a time or after it.
+/// Index of the first step that starts at or after `time`.
 fn step_at(time: Duration) -> usize {
     (time.as_millis().div_ceil(STEP.as_millis()) as usize).min(STEPS)
 }
 
 impl Timeline {
-    /// What is taken in each of the next [`STEPS`] steps.
+    /// Creates a timeline from the amounts in use in each of the next [`STEPS`] steps.
     pub const fn from_steps(taken: Vec<f64>) -> Self {
         Self { taken }
     }
 
-    /// What is taken in each step from now on.
+    /// Amounts in use in each step, from now on.
     pub fn steps(&self) -> &[f64] {
         &self.taken
     }
 
-    /// Takes an amount from one time from now until another.
+    /// Adds the use of `amount` between two times, both relative to now.
     pub fn add(&mut self, from: Duration, until: Duration, amount: f64) {
         let last = step_at(until).max(step_at(from) + 1).min(STEPS);
         for taken in &mut self.taken[step_at(from).min(last)..last] {
@@ -43,14 +43,14 @@
         }
     }
 
-    /// The most that is taken from one time on, for a while.
+    /// Peak use during `length`, starting at `from`.
     pub fn peak(&self, from: Duration, length: Duration) -> f64 {
         let last = step_at(from + length).max(step_at(from) + 1).min(STEPS);
         self.taken[step_at(from).min(last)..last].iter().copied().fold(0.0, f64::max)
     }
 
-    /// The first time from `from` on at which an amount fits beside what is taken, for a while;
-    /// `None` if it fits at no time that is looked at.
+    /// The earliest time, not before `from`, at which `amount` fits within `bound` for `length` in
+    /// addition to the expected use; `None` if there is none within the timeline.
     pub fn earliest(
         &self,
         from: Duration,
@@ -73,7 +73,7 @@
                 return Some(start);
             }
         }
-        // What lies beyond the last step is taken to be free.
+        // The resource is assumed to be free after the last step.
         (free > 0 || first >= STEPS && amount <= bound).then_some(start)
     }
 }
--- a/src/refusal.rs
+++ b/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The refusals that a caller can get, each with what ran, why, and when to come back.
+//! Refusals returned to callers: what ran, the reason, and when to retry.
 
 use std::time::Duration;
 
@@ -6,88 +6,89 @@
 
 use crate::message::{AgentReason, Ran};
 
-/// Why a request was given up, in the operators' terms.
+/// Why a request was refused or ended without a result.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum Reason {
     /// This process has no configuration yet.
     NoConfiguration,
-    /// This gateway takes no new requests because it stops.
+    /// This gateway is stopping and accepts no new requests.
     Draining,
-    /// This gateway has as many requests in flight as its settings allow.
+    /// This gateway has reached its limit of requests in flight.
     TooManyInFlight {
-        /// The bound.
+        /// Maximum number of requests in flight, from the settings.
         bound: usize,
     },
     /// No pipeline has this name.
     UnknownPipeline {
-        /// The name.
+        /// Name in the request.
         pipeline: String,
     },
     /// No organisation has this name.
     UnknownOrganisation {
-        /// The name.
+        /// Name in the request.
         organisation: String,
     },
-    /// A rule of the operators refuses it.
+    /// A rule in the configuration refuses the request.
     Rule {
-        /// The rule's name.
+        /// Name of the rule.
         rule: String,
     },
-    /// The organisation is over a limit.
+    /// The organisation has exceeded a rate limit.
     OverLimit {
-        /// The limit's name.
+        /// Name of the limit.
         limit: String,
     },
-    /// It would not be done within its deadline.
+    /// The request is predicted to miss its deadline.
     WouldBeLate {
-        /// Predicted time to the end, in milliseconds.
+        /// Predicted time to completion, in milliseconds.
         predicted_ms: u64,
-        /// Time left, in milliseconds.
+        /// Time until the deadline, in milliseconds.
         left_ms: u64,
-        /// The stage that takes most of it.
+        /// Name of the stage with the longest predicted time.
         slowest_stage: String,
     },
-    /// No endpoint may run a stage.
+    /// No endpoint is available for a stage.
     NoEndpoint {
-        /// The stage.
+        /// Name of the stage.
         stage: String,
-        /// The selector that candidates must match.
+        /// Selector that an endpoint must match.
         selector: String,
-        /// Endpoints that match it.
+        /// Number of endpoints that match the selector.
         matching: usize,
-        /// What the last one tried said, where one was tried.
+        /// Reason returned by the last agent that was tried; `None` if no endpoint was tried.
         last: Option<AgentReason>,
     },
-    /// Retries are used up for now.
+    /// The retry budget is exhausted.
     RetryBudget {
-        /// The stage.
+        /// Name of the stage.
         stage: String,
-        /// What the last one tried said.
+        /// Reason returned by the last agent that was tried.
         last: AgentReason,
     },
     /// The deadline passed.
     DeadlinePassed {
-        /// The stage that it was in.
+        /// Name of the stage that the request was in.
         stage: String,
     },
-    /// A stage that may not be repeated was begun, and its result can't be had.
+    /// A stage that may not be repeated was started, and its outcome can't be determined.
     OutcomeUnknown {
-        /// The stage.
+        /// Name of the stage.
         stage: String,
-        /// The endpoint that it was sent to.
+        /// Name of the endpoint that the stage was sent to.
         endpoint: String,
     },
-    /// The ticket's request was begun by another run, or its home is gone.
+    /// The request of the ticket was already started by another run, or the agent that holds the
+    /// ticket is unreachable.
     TicketUsed,
-    /// The ticket is void: forged, expired, or its home has restarted.
+    /// The ticket is invalid: forged, expired, or the agent that held it has restarted.
     TicketVoid,
-    /// The caller went away.
+    /// The caller closed the connection.
     CallerGone,
 }
 
 impl Reason {
-    /// The word for metrics and the problem type.
+    /// Name of the reason in metrics and problem types.
     pub const fn as_str(&self) -> &'static str {
         match self {
             Self::NoConfiguration => "no_configuration",
@@ -109,21 +110,21 @@
     }
 }
 
-/// A final answer without a result.
+/// Final response to a request without a result.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// How much ran.
+    /// How much of the request ran, as far as is known.
     pub ran: Ran,
-    /// Why it was given up.
+    /// Reason of the refusal.
     pub reason: Reason,
-    /// The stages that ran whole.
+    /// Names of the completed stages.
     pub stages_run: Vec<String>,
-    /// When to come back.
+    /// Delay after which the caller may retry.
     pub retry_after: Duration,
 }
 
 impl Refusal {
-    /// A refusal before anything ran.
+    /// Creates a refusal of a request of which no stage ran.
     pub const fn not_run(reason: Reason, retry_after: Duration) -> Self {
         Self { ran: Ran::NotRun, reason, stages_run: Vec::new(), retry_after }
     }
--- a/src/result.rs
+++ b/src/result.rs
@@ -1,4 +1,4 @@
-//! A result as it comes in: pieces at offsets, kept whole and digested.
+//! Reassembly of a streamed result: chunks are appended by offset and hashed incrementally.
 
 use std::fmt;
 
@@ -6,26 +6,26 @@
 use snafu::{Snafu, ensure};
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// Why a piece can't be taken in.
+/// Why a chunk can't be appended.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum AppendError {
-    /// Something is missing before it.
-    #[snafu(display("a piece at {offset} after {have} bytes"))]
+    /// Bytes between the end of the buffer and the chunk are missing.
+    #[snafu(display("gap in the result: chunk at offset {offset} after {have} bytes"))]
     Gap {
-        /// Where the piece starts.
+        /// Offset of the chunk, in bytes.
         offset: u64,
-        /// Bytes so far.
+        /// Number of bytes received.
         have: u64,
     },
-    /// The result would be longer than the bound.
-    #[snafu(display("more than {bound} bytes"))]
+    /// The result would exceed its maximum length.
+    #[snafu(display("the result is longer than {bound} bytes"))]
     TooLong {
-        /// The bound.
+        /// Maximum length, in bytes.
         bound: usize,
     },
 }
 
-/// The bytes of a result so far.
+/// The received bytes of a result and their running hash.
 #[derive(Default)]
 pub struct ResultBuffer {
     bytes: BytesMut,
@@ -39,22 +39,23 @@
 }
 
 impl ResultBuffer {
-    /// Bytes so far.
+    /// Number of bytes received.
     pub fn len(&self) -> u64 {
         self.bytes.len() as u64
     }
 
-    /// Whether nothing came yet.
+    /// Whether no bytes were received yet.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// xxh3-64 of the bytes so far.
+    /// xxh3-64 of the received bytes.
     pub fn digest(&self) -> u64 {
         self.hasher.digest()
     }
 
-    /// Takes in a piece and returns what of it is new; a piece that came before is nothing new.
+    /// Appends the chunk `data` at `offset` and returns the part of it that is new; bytes received
+    /// before are skipped.
     pub fn append(
         &mut self,
         offset: u64,
@@ -74,13 +75,13 @@
         Ok(fresh)
     }
 
-    /// A copy of what lies behind `offset`.
+    /// A copy of the received bytes from `offset` on.
     pub fn from(&self, offset: u64) -> Bytes {
         let from = (offset as usize).min(self.bytes.len());
         Bytes::copy_from_slice(&self.bytes[from..])
     }
 
-    /// The whole result.
+    /// Returns the complete result.
     pub fn into_bytes(self) -> Bytes {
         self.bytes.freeze()
     }
--- a/src/spread.rs
+++ b/src/spread.rs
@@ -1,5 +1,6 @@
-//! Spreads documents: the fleet together polls the platform at a fixed rate, and whoever finds a newer
-//! version tells its neighbours, who pull it and tell theirs.
+//! Distributes documents in the fleet. All processes together poll the platform at a fixed rate; a
+//! process that finds a newer version announces it to its neighbours, which pull the document and
+//! announce it to theirs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -25,55 +26,55 @@
 use crate::wire::v1::peer_client::PeerClient;
 use crate::wire::{MAX_MESSAGE_LEN, PROTOCOL, v1};
 
-/// The name of the configuration in exchanges.
+/// Name of the configuration document in exchanges.
 pub const CONFIG: &str = "config";
-/// The name of the host list in exchanges.
+/// Name of the host list document in exchanges.
 pub const HOSTS: &str = "hosts";
-/// Peers that are told of a new version, and with which versions are compared.
+/// Number of peers to which new versions are announced and with which versions are compared.
 const NEIGHBOURS: usize = 8;
-/// Versions are compared with one neighbour this often.
+/// Mean interval at which versions are compared with one randomly chosen neighbour.
 const EXCHANGE_EVERY: Duration = Duration::from_secs(2);
-/// How long one exchange or pull may take.
+/// Timeout of one exchange or pull.
 const PEER_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a process that starts waits for the slowest of those that it asks.
+/// How long a starting process waits for the manifests requested from the platform and peers.
 const BOOTSTRAP_TIMEOUT: Duration = Duration::from_secs(3);
-/// Calls of one poll: the manifest and the host list.
+/// Number of calls in one poll: the manifest and the host list.
 const CALLS_PER_POLL: f64 = 2.0;
 
-/// Why documents could not be had from a peer.
+/// Why documents could not be pulled from a peer or the platform.
 #[derive(Debug, Snafu)]
 pub enum PullError {
-    /// No connection.
+    /// The connection to the peer could not be established.
     #[snafu(display("{source}"), context(false))]
     Connect {
-        /// Why.
+        /// Cause of the failure.
         source: ConnectError,
     },
-    /// The peer answered with an error, or the connection was lost.
+    /// The peer responded with an error, or the connection failed.
     #[snafu(display("{source}"))]
     Call {
-        /// Why.
+        /// Status of the failed call.
         source: Box<tonic::Status>,
     },
-    /// The peer did not answer in time.
-    #[snafu(display("no answer in time"))]
+    /// The peer did not respond within the timeout.
+    #[snafu(display("the peer did not respond in time"))]
     TimedOut,
-    /// What the peer sent is no document.
+    /// The peer's message is not a valid document.
     #[snafu(display("{source}"))]
     Syntax {
-        /// Where and why.
+        /// Position and cause of the syntax error.
         source: serde_json::Error,
     },
     /// The platform could not be read.
     #[snafu(display("{source}"), context(false))]
     Platform {
-        /// Why.
+        /// Cause of the failure.
         source: PlatformError,
     },
     /// The document was not applied.
     #[snafu(display("{source}"), context(false))]
     Rejected {
-        /// Why.
+        /// Reason for the rejection.
         source: Rejection,
     },
 }
@@ -84,9 +85,9 @@
     }
 }
 
-/// The state of spreading in one process.
+/// Document distribution of one process.
 pub struct Spread {
-    /// Where this process answers others.
+    /// Address at which this process serves its peers.
     address: SocketAddr,
     seeds: Vec<SocketAddr>,
     polls_per_second: f64,
@@ -98,30 +99,30 @@
     channels: Arc<Channels>,
     audit: Audit,
     started: watch::Sender<bool>,
-    /// One pull at a time, so that neighbours' words of one version give one transfer.
+    /// Held during a pull, so that several announcements of one version cause one transfer only.
     pulling: Mutex<()>,
 }
 
-/// What [`Spread`] is made with.
+/// Settings and dependencies of [`Spread`].
 pub struct Setup {
-    /// Where this process answers others.
+    /// Address at which this process serves its peers.
     pub address: SocketAddr,
-    /// Processes from the settings.
+    /// Addresses of peers from the settings.
     pub seeds: Vec<SocketAddr>,
-    /// Calls a second of the whole fleet to the platform.
+    /// Calls per second to the platform, over the whole fleet.
     pub polls_per_second: u32,
-    /// The configuration.
+    /// Store of the configuration in force.
     pub store: Arc<ConfigStore>,
-    /// The platform.
+    /// Client of the platform.
     pub platform: Platform,
-    /// Connections to peers.
+    /// Connection cache for peers.
     pub channels: Arc<Channels>,
-    /// Where changes are recorded.
+    /// Audit trail in which changes are recorded.
     pub audit: Audit,
 }
 
 impl Spread {
-    /// Spreads nothing yet.
+    /// Creates the distribution state; [`Spread::run`] starts it.
     pub fn new(setup: Setup) -> Self {
         Self {
             address: setup.address,
@@ -139,35 +140,35 @@
         }
     }
 
-    /// The configuration's store.
+    /// The store of the configuration in force.
     pub const fn store(&self) -> &Arc<ConfigStore> {
         &self.store
     }
 
-    /// The newest host list that is known.
+    /// The newest known host list.
     pub fn hosts(&self) -> Arc<HostList> {
         self.hosts.load_full()
     }
 
-    /// Says each revision of the host list that becomes known.
+    /// Receives each new revision of the host list.
     pub fn subscribe_hosts(&self) -> watch::Receiver<u64> {
         self.hosts_announced.subscribe()
     }
 
-    /// Live gateways by the host list, at least one.
+    /// Number of live gateways in the host list, at least 1.
     pub fn gateways(&self) -> usize {
         let hosts = self.hosts();
         let live = hosts.hosts.iter().filter(|h| h.gateway && h.state == HostState::Live);
         live.count().max(1)
     }
 
-    /// Seconds since the platform last answered; `None` where it never has.
+    /// Time since the platform last responded; `None` if it never has.
     pub fn platform_age(&self) -> Option<Duration> {
         let answered = self.platform_answered.lock().unwrap_or_else(|p| p.into_inner());
         answered.map(|at| at.elapsed())
     }
 
-    /// Every other process that is known.
+    /// Addresses of all other known processes: seeds and listed hosts.
     pub fn peers(&self) -> BTreeSet<SocketAddr> {
         let listed = self.hosts();
         let listed = listed.hosts.iter().map(|h| h.internal);
@@ -176,7 +177,7 @@
         peers
     }
 
-    /// The same few peers while the fleet stays the same, so that connections are kept.
+    /// Peers to exchange versions with; stable while the fleet is unchanged, to reuse connections.
     fn neighbours(&self) -> Vec<SocketAddr> {
         let own = u64::from(self.address.port()) ^ hash_ip(self.address);
         let mut ranked: Vec<_> = self
@@ -188,13 +189,15 @@
         ranked.into_iter().take(NEIGHBOURS).map(|(_, peer)| peer).collect()
     }
 
-    /// Asks the platform and peers, and takes the highest; then goes on for good.
+    /// Loads the newest configuration from the platform or a peer, then polls, exchanges and
+    /// announces versions until the process stops.
     pub async fn run(self: Arc<Self>) {
         self.bootstrap().await;
         tokio::join!(self.poll_for_good(), self.exchange_for_good(), self.push_for_good());
     }
 
-    /// Learns who has which version before it takes any, so that an old copy is never served first.
+    /// Collects the versions of the platform and the neighbours before any is adopted, so that an
+    /// old copy is never served first.
     async fn bootstrap(self: &Arc<Self>) {
         let mut asked = JoinSet::new();
         let platform = self.platform.clone();
@@ -226,13 +229,14 @@
         self.started.send_replace(true);
     }
 
-    /// Waits until those that can be asked have been asked for the highest version.
+    /// Waits until the initial load has ended, successfully or not.
     pub async fn started(&self) {
         self.started.subscribe().wait_for(|started| *started).await.ok();
     }
 
     async fn poll_for_good(&self) {
-        // Also a fleet that starts as a whole polls at its rate from the first moment on.
+        // The first delay is a random part of one interval, so that the poll rate also holds right
+        // after the whole fleet has started at once.
         let mut phases = 0.0..1.0;
         loop {
             let processes = self.peers().len() as f64 + 1.0;
@@ -240,7 +244,7 @@
             let phase = rand::rng().random_range(phases);
             phases = 0.5..1.5;
             tokio::time::sleep(Duration::from_secs_f64(every * phase)).await;
-            // A failed poll shows in the counter of calls and in the platform's age.
+            // Failed polls are visible in the call counter and in the platform age metric.
             self.poll().await.ok();
         }
     }
@@ -271,7 +275,7 @@
         }
     }
 
-    /// Reads the platform once.
+    /// Reads the manifest and the host list from the platform once.
     pub async fn poll(&self) -> Result<(), PullError> {
         let polled = self.poll_documents().await;
         let answers = !matches!(polled, Err(PullError::Platform { .. }));
@@ -312,7 +316,8 @@
         self.hosts_announced.send_replace(revision);
     }
 
-    /// Fetches the parts that a manifest changes and offers the whole to the store.
+    /// Fetches the parts of a manifest that are not yet present and offers the configuration to the
+    /// store.
     async fn adopt(&self, manifest: Manifest, source: Source) -> Result<(), PullError> {
         if self.store.is_conflict(manifest.version, &manifest.digest) {
             return Ok(());
@@ -383,7 +388,7 @@
         Ok(PeerClient::new(channel).max_decoding_message_size(MAX_MESSAGE_LEN))
     }
 
-    /// Compares versions with a peer, and pulls what it has newer.
+    /// Compares versions with a peer and pulls the documents of which the peer has a newer one.
     pub async fn exchange(&self, peer: SocketAddr) -> Result<(), PullError> {
         let exchanged = tokio::time::timeout(PEER_TIMEOUT, self.exchange_once(peer)).await;
         let result = exchanged.unwrap_or(Err(PullError::TimedOut));
@@ -403,7 +408,7 @@
         self.pull_newer(peer, &reply.documents).await
     }
 
-    /// The versions of the documents in force here.
+    /// The versions of this process's documents.
     pub fn versions(&self) -> Vec<v1::DocumentVersion> {
         let config = self.store.installed();
         let config = config.map(|i| v1::DocumentVersion {
@@ -419,7 +424,7 @@
         config.into_iter().chain([hosts]).collect()
     }
 
-    /// Pulls from a peer what it says it has newer.
+    /// Pulls the documents of which a peer reports a newer version.
     pub async fn pull_newer(
         &self,
         peer: SocketAddr,
@@ -472,7 +477,7 @@
     }
 }
 
-/// Where a document comes from.
+/// Source of a document.
 #[derive(Debug, Clone, Copy)]
 enum Source {
     Platform,
--- a/src/tables.rs
+++ b/src/tables.rs
@@ -1,9 +1,9 @@
-//! The tool's answers as text for a terminal.
+//! Text output of the command-line tool.
 
 use crate::admin::{EndpointStatus, RequestStatus, Status};
 use crate::policy::explain::Explanation;
 
-/// A process's state.
+/// Formats the status of a process.
 pub(crate) fn status_table(status: &Status) -> String {
     let age = status.platform_age_s.map_or("never".to_owned(), |a| format!("{a:.1} s ago"));
     let state = if status.draining { "draining" } else { "serving" };
@@ -28,7 +28,7 @@
     )
 }
 
-/// What a gateway knows of the endpoints.
+/// Formats a table of the endpoints that a gateway uses.
 pub(crate) fn endpoints_table(endpoints: &[EndpointStatus]) -> String {
     let mut table = format!(
         "{:<24} {:<10} {:>9} {:>7} {:>8} {:>6} {:>11}\n",
@@ -44,7 +44,7 @@
     table
 }
 
-/// Ended requests, a line each.
+/// Formats completed and refused requests, one line each.
 pub(crate) fn requests_table(requests: &[RequestStatus]) -> String {
     let lines = requests.iter().map(|r| {
         format!("{:<44} {:<16} {:<16} {}\n", r.request, r.pipeline, r.organisation, r.last)
@@ -52,7 +52,7 @@
     lines.collect()
 }
 
-/// Why a request went where it went.
+/// Formats the steps of a request, with the endpoints considered for each routing decision.
 pub(crate) fn explanation_text(explanation: &Explanation) -> String {
     let Explanation { request, pipeline, organisation, ended, steps } = explanation;
     let state = if *ended { "ended" } else { "not ended" };
--- a/src/view.rs
+++ b/src/view.rs
@@ -1,4 +1,5 @@
-//! A configuration compiled for one process: pools, subsets and indexes, made once for each version.
+//! A configuration compiled for one process: pools, endpoint subsets and indexes, built once for
+//! each version.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,30 +10,31 @@
     Config, Effect, Endpoint, Labels, Name, Organisation, Pipeline, Rule, Selector, Stage,
 };
 
-/// The share of a subset that is taken from the process's own data centre, where it has that many.
+/// The share of a subset that is filled from the process's own data centre, as far as it has enough
+/// endpoints.
 const LOCAL_SHARE: f64 = 0.75;
 
-/// Who compiles: the subset and the distances depend on it.
+/// Location of the process that compiles a view; subsets and distances depend on it.
 #[derive(Debug, Clone)]
 pub struct Place {
-    /// The process's host name.
+    /// Host name of the process.
     pub host: String,
-    /// Where it stands.
+    /// Data centre of the process.
     pub data_centre: Name,
 }
 
-/// The endpoints that this process considers for a selector.
+/// The endpoints that this process uses for a selector.
 #[derive(Debug)]
 pub struct Pool {
-    /// Identifies the pool: xxh3-64 of the selector.
+    /// Pool key: xxh3-64 of the selector.
     pub key: u64,
-    /// The selectors, as operators wrote them, joined.
+    /// The selector of the stage, followed by that of the `require` rule if one applies.
     pub selector: String,
-    /// The subset.
+    /// The subset of matching endpoints that this process uses.
     pub members: Vec<Arc<Endpoint>>,
-    /// Endpoints of the fleet that match.
+    /// Number of endpoints in the fleet that match the selector.
     pub matching: usize,
-    /// Of those, endpoints that the configuration calls leaving.
+    /// Number of matching endpoints that the configuration marks as leaving.
     pub leaving: usize,
 }
 
@@ -41,11 +43,11 @@
 pub struct StageView {
     /// The stage as published.
     pub stage: Stage,
-    /// Identifies the stage in estimates.
+    /// Key of the stage in time estimates: xxh3-64 of `pipeline/stage`.
     pub key: u64,
-    /// The pool where no rule says otherwise.
+    /// The pool used when no `require` rule applies.
     pub pool: Arc<Pool>,
-    /// The pools of the `require` rules for this stage, by the rule's position.
+    /// The pools of the `require` rules for this stage, each with the rule's index.
     pub required: Vec<(usize, Arc<Pool>)>,
 }
 
@@ -54,7 +56,7 @@
 pub struct PipelineView {
     /// The pipeline as published.
     pub pipeline: Pipeline,
-    /// Its stages in order.
+    /// The compiled stages, in execution order.
     pub stages: Vec<StageView>,
 }
 
@@ -63,12 +65,12 @@
 pub struct View {
     /// The configuration.
     pub config: Arc<Config>,
-    /// The digest of its manifest.
+    /// Digest of the configuration's manifest.
     pub digest: String,
-    /// Who compiled it.
+    /// Location of the process that compiled the view.
     pub place: Place,
     pipelines: HashMap<Name, Arc<PipelineView>>,
-    /// Positions of the organisations, by their names.
+    /// Indexes into the configuration's organisations, sorted by name.
     organisations: Vec<u32>,
 }
 
@@ -87,19 +89,19 @@
         Self { config, digest, place, pipelines, organisations }
     }
 
-    /// The pipeline of this name.
+    /// Looks up a pipeline by name.
     pub fn pipeline(&self, name: &str) -> Option<&Arc<PipelineView>> {
         self.pipelines.get(name)
     }
 
-    /// The organisation of this name.
+    /// Looks up an organisation by name.
     pub fn organisation(&self, name: &str) -> Option<&Organisation> {
         let at = |i: u32| &self.config.organisations[i as usize];
         let found = self.organisations.binary_search_by(|i| at(*i).name.as_str().cmp(name)).ok()?;
         Some(at(self.organisations[found]))
     }
 
-    /// Every endpoint that is a member of some pool, once each.
+    /// Every endpoint that is a member of at least one pool, without duplicates, sorted by name.
     pub fn endpoints_in_use(&self) -> Vec<Arc<Endpoint>> {
         let stages = self.pipelines.values().flat_map(|p| &p.stages);
         let pools = stages.flat_map(|s| s.required.iter().map(|(_, p)| p).chain([&s.pool]));
@@ -109,7 +111,7 @@
         endpoints
     }
 
-    /// The rules that match, with their positions, in order.
+    /// The rules that match an organisation's and a request's labels, in order, with their indexes.
     pub fn rules<'a>(
         &'a self,
         organisation: &'a Labels,
@@ -122,7 +124,8 @@
 }
 
 impl StageView {
-    /// The pool under the first of the matching rules that is for this stage, and that rule's position.
+    /// The pool of the first matching `require` rule for this stage and the rule's index, or the
+    /// stage's default pool.
     pub fn pool_under(&self, matching: &[usize]) -> (&Arc<Pool>, Option<usize>) {
         let required = self.required.iter().find(|(rule, _)| matching.contains(rule));
         match required {
@@ -151,7 +154,7 @@
     PipelineView { pipeline: pipeline.clone(), stages: stages.collect() }
 }
 
-/// Pools made so far; stages with equal selectors share one.
+/// Cache of the compiled pools; stages with equal selectors share one.
 struct Pools<'a> {
     config: &'a Config,
     place: &'a Place,
@@ -184,7 +187,8 @@
     }
 }
 
-/// Rendezvous hashing: a host keeps its members when others come and go; its data centre comes first.
+/// Selects `size` endpoints by rendezvous hashing, so that a host keeps its members when other
+/// endpoints are added or removed. Local endpoints are selected first, up to [`LOCAL_SHARE`].
 fn subset(endpoints: Vec<&Arc<Endpoint>>, size: usize, place: &Place) -> Vec<Arc<Endpoint>> {
     if endpoints.len() <= size {
         return endpoints.into_iter().cloned().collect();
