--- a/src/actor.rs
+++ b/src/actor.rs
@@ -1,4 +1,5 @@
-//! Drives a core: one task owns it, feeds it events and timers, and hands its actions to a shell.
+//! Runs a core as an actor: one task owns the core, feeds it events and timer ticks, and passes its
+//! actions to a shell.
 
 use std::time::Duration;
 
@@ -8,28 +9,28 @@
 use crate::clock::Clock;
 use crate::message::Timestamp;
 
-/// Messages that wait for a core; senders wait beyond that.
+/// Capacity of each of the two queues of a core; senders wait while their queue is full.
 const MAILBOX: usize = 8_192;
-/// Urgent events that are handled in a row while others wait: heartbeats are among those, and a process that
-/// handles none for a second takes all others for dead.
+/// Urgent events handled in a row while other events wait. Heartbeats are urgent: a process that
+/// handles none for a second considers all its peers failed.
 const MOST_URGENT: usize = 16;
-/// A core without timers is woken this often.
+/// Longest time between two wakeups of a core, for cores without a pending timer.
 const IDLE_WAKEUP: Duration = Duration::from_secs(1);
-/// A core that goes on so long after it was due was not merely late: its process stood still, frozen, suspended
-/// or without a processor, and what others told it meanwhile waits to be read. Hosts of 0.09 cores are late by up
-/// to 200 ms in a burst.
+/// Delay of a wakeup from which the process counts as suspended (frozen, stopped with its host, or
+/// without a processor) rather than busy; messages that arrived during the suspension are still
+/// queued. Wakeups on hosts with 0.09 cores are delayed by up to 200 ms in a burst.
 const STOOD_STILL: Duration = Duration::from_millis(500);
 
-/// Decisions without I/O or clock.
+/// A state machine that makes decisions without I/O and without reading a clock.
 pub trait Core: Send + 'static {
-    /// What happens to it.
+    /// Input of the state machine.
     type Event: Send + 'static;
-    /// What must be done.
+    /// Effect that the shell carries out.
     type Action: Send;
-    /// The event that says that time has passed.
+    /// The event that fires when a timer is due.
     const TICK: Self::Event;
 
-    /// Whether an event is handled before those that are not urgent and have waited for longer.
+    /// Whether the event is handled before non-urgent events that have waited longer.
     fn is_urgent(_event: &Self::Event) -> bool {
         false
     }
@@ -40,9 +41,9 @@
     /// Called when the process resumes after a suspension of this duration.
     fn on_suspension(&mut self, _duration: Duration, _now: Timestamp) {}
 
-    /// Takes in an event and returns what must be done, in order.
+    /// Handles an event and returns the resulting actions in order.
     fn handle(&mut self, event: Self::Event, now: Timestamp) -> Vec<Self::Action>;
-    /// When [`Self::TICK`] is due.
+    /// Time at which [`Self::TICK`] is due, if a timer is pending.
     fn next_wakeup(&self) -> Option<Timestamp>;
 }
 
@@ -51,14 +52,14 @@
     /// Carries out one action.
     fn act(&mut self, action: C::Action, core: &C);
 
-    /// An event waited so long for the core, which took so long to handle it.
+    /// Called after each event with its queueing delay and the time taken to handle it.
     fn handled(&mut self, _waited: Duration, _took: Duration) {}
 }
 
 type Inspection<C> = Box<dyn FnOnce(&C, Timestamp) + Send>;
 
 enum Message<C: Core> {
-    /// An event, and since when it waits.
+    /// An event and the time at which it was queued.
     Event(C::Event, Timestamp),
     Inspect(Inspection<C>),
 }
@@ -73,7 +74,7 @@
     urgent: mpsc::Sender<Message<C>>,
     mailbox: mpsc::Sender<Message<C>>,
     clock: Clock,
-    /// When the process last went on after it had stood still.
+    /// Time at which the process last resumed after a suspension.
     went_on: watch::Receiver<Timestamp>,
 }
 
@@ -89,18 +90,18 @@
         if C::is_urgent(event) { &self.urgent } else { &self.mailbox }
     }
 
-    /// Sends an event, waiting while the mailbox is full.
+    /// Sends an event; waits while the queue is full.
     pub async fn send(&self, event: C::Event) -> Result<(), Stopped> {
         let mailbox = self.sender(&event);
         mailbox.send(Message::Event(event, self.now())).await.map_err(|_| Stopped)
     }
 
-    /// The time by the core's clock.
+    /// Current time by the core's clock.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// Waits until a time by the core's clock: what a suspension has used up is not waited for after it.
+    /// Waits until a time by the core's clock. Time spent in suspension counts towards the wait.
     pub async fn sleep_until(&self, at: Timestamp) {
         let mut went_on = self.went_on.clone();
         loop {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Sends an event from where nothing can wait, such as a destructor.
+    /// Sends an event from a context that can't await, such as a destructor.
     pub fn post(&self, event: C::Event, runtime: &tokio::runtime::Handle) {
         let mailbox = self.sender(&event).clone();
         if let Err(mpsc::error::TrySendError::Full(message)) =
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Asks the core a question.
+    /// Runs a closure on the core's state and returns its result.
     pub async fn inspect<T: Send + 'static>(
         &self,
         question: impl FnOnce(&C, Timestamp) -> T + Send + 'static,
@@ -140,7 +141,8 @@
     }
 }
 
-/// Made before the core runs, so that its shell can hold the handle.
+/// Receiving end of a core's queues; created before the core runs, so that its shell can hold a
+/// handle.
 pub struct Mailbox<C: Core> {
     urgent: mpsc::Receiver<Message<C>>,
     receiver: mpsc::Receiver<Message<C>>,
@@ -148,12 +150,12 @@
     went_on: watch::Sender<Timestamp>,
 }
 
-/// A handle and the mailbox that it sends to.
+/// Creates a handle and the mailbox that it sends to, with the host's clock.
 pub fn mailbox<C: Core>() -> (Handle<C>, Mailbox<C>) {
     mailbox_with(Clock::of_host())
 }
 
-/// As [`mailbox`], with a clock of its own.
+/// Creates a handle and the mailbox that it sends to, with the given clock.
 pub fn mailbox_with<C: Core>(clock: Clock) -> (Handle<C>, Mailbox<C>) {
     let (urgent, urgent_receiver) = mpsc::channel(MAILBOX);
     let (mailbox, receiver) = mpsc::channel(MAILBOX);
@@ -163,7 +165,7 @@
 }
 
 impl<C: Core> Mailbox<C> {
-    /// The next message and whether it is urgent; `None` once no handle is left.
+    /// Returns the next message and whether it is urgent; `None` once all handles are dropped.
     async fn next(&mut self, urgent_first: bool) -> Option<(Message<C>, bool)> {
         if !urgent_first && let Ok(message) = self.receiver.try_recv() {
             return Some((message, false));
@@ -175,7 +177,8 @@
         }
     }
 
-    /// The time, after a look whether it should have been looked at much earlier, at `due`.
+    /// Reads the clock; reports a suspension to the core if the wakeup at `due` is overdue by
+    /// [`STOOD_STILL`] or more.
     fn look_at_clock(&self, core: &mut C, due: Timestamp) -> Timestamp {
         let now = self.clock.now();
         let late = now.saturating_sub(due);
@@ -187,7 +190,7 @@
     }
 }
 
-/// Runs a core until its last handle is gone.
+/// Runs a core until all its handles are dropped.
 pub async fn run<C: Core>(mut core: C, mut shell: impl Shell<C>, mut mailbox: Mailbox<C>) {
     let mut urgent_in_a_row = 0;
     let mut due = mailbox.clock.now();
@@ -195,7 +198,7 @@
         let now = mailbox.look_at_clock(&mut core, due);
         let idle = now + IDLE_WAKEUP;
         let wakeup = core.next_wakeup().map_or(idle, |at| at.min(idle));
-        // One that was due before it could be known waits from now on.
+        // A timer that was due before the core reported it is measured from now.
         due = wakeup.max(now);
         let message = tokio::select! {
             biased;
--- a/src/admin.rs
+++ b/src/admin.rs
@@ -1,4 +1,5 @@
-//! The administration API: what operators ask of a process, behind a bearer token.
+//! The administration API for operators: status, requests, configuration and drain, behind a bearer
+//! token.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,104 +28,104 @@
 use crate::settings::Settings;
 use crate::spread::Spread;
 
-/// Entries of a list where the operator names no number.
+/// Entries of a list when the request has no `count` parameter.
 const LISTED: usize = 50;
 
-/// The process's core, by its role.
+/// Handle of the process's core, by the role of the process.
 #[derive(Clone)]
 pub enum RoleHandle {
-    /// A gateway's.
+    /// Core of a gateway.
     Gateway(Handle<GatewayCore>),
-    /// An agent's.
+    /// Core of an agent.
     Agent(Handle<AgentCore>),
 }
 
-/// What the handlers share.
+/// State shared by the request handlers.
 #[derive(Clone)]
 pub struct AdminState {
-    /// The core.
+    /// Handle of the core.
     pub role: RoleHandle,
-    /// The process's settings.
+    /// Settings of the process.
     pub settings: Arc<Settings>,
-    /// This life of the process.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// When it started.
+    /// Start time of the process.
     pub started: Instant,
-    /// The documents.
+    /// Distribution of configuration and host list.
     pub spread: Arc<Spread>,
     /// Connections to other processes.
     pub channels: Arc<Channels>,
-    /// The trail of changes.
+    /// Audit trail of the process.
     pub audit: Audit,
-    /// The metrics.
+    /// Metrics in the Prometheus format.
     pub metrics: PrometheusHandle,
-    /// Tells the daemon to stop.
+    /// Signals the daemon to drain and stop.
     pub drain: Arc<Notify>,
-    /// Where calls to other processes run.
+    /// Runtime for calls to other processes.
     pub runtime: tokio::runtime::Handle,
 }
 
-/// The state of a process.
+/// Status of a process.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Status {
-    /// Its name.
+    /// Host name of the process.
     pub host: String,
     /// `gateway` or `agent`.
     pub role: String,
-    /// Where it stands.
+    /// Data centre of the process.
     pub data_centre: String,
-    /// This life of it.
+    /// Incarnation of the process.
     pub incarnation: String,
-    /// The build that it runs.
+    /// Build of the running program.
     #[serde(default)]
     pub build: Build,
-    /// Seconds since it started.
+    /// Seconds since the process started.
     pub uptime_s: u64,
-    /// The configuration's version; 0 where there is none.
+    /// Version of the configuration in force; 0 if there is none.
     pub config_version: u64,
-    /// Seconds since the platform last answered.
+    /// Seconds since the last response of the platform.
     pub platform_age_s: Option<f64>,
-    /// Processes that it knows.
+    /// Number of known peers.
     pub peers: usize,
-    /// Requests in flight, or attempts that wait or run.
+    /// Requests in flight in a gateway, or attempts queued or running in an agent.
     pub in_flight: usize,
-    /// Whether it takes no new work.
+    /// Whether the process accepts no new work.
     pub draining: bool,
 }
 
-/// What a gateway knows of an endpoint.
+/// Status of an endpoint as seen by a gateway.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct EndpointStatus {
-    /// Its name.
+    /// Name of the endpoint.
     pub endpoint: String,
     /// `serving`, `suspected` or `leaving`.
     pub state: String,
-    /// The gateway's own attempts there.
+    /// Attempts of this gateway in flight at the endpoint.
     pub in_flight: u32,
-    /// Attempts that wait at its agent, by the last report.
+    /// Attempts queued at the endpoint's agent, from its last report.
     pub queued: u32,
-    /// Attempts that run there, by the last report.
+    /// Attempts running at the endpoint, from the agent's last report.
     pub running: u32,
-    /// Attempts that it runs at once, by the last report.
+    /// Concurrency limit of the endpoint, from the agent's last report.
     pub limit: u32,
-    /// How old that report is, in milliseconds.
+    /// Age of the agent's last report in milliseconds.
     pub report_age_ms: Option<u64>,
 }
 
-/// A request in a list.
+/// Summary of a request in a list.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RequestStatus {
-    /// Its identity.
+    /// Identifier of the request.
     pub request: String,
-    /// Its pipeline.
+    /// Pipeline of the request.
     pub pipeline: String,
-    /// Its organisation.
+    /// Organisation of the request.
     pub organisation: String,
-    /// The last thing that happened to it.
+    /// Last recorded event of the request.
     pub last: String,
 }
 
-/// Listens for operators.
+/// Starts the listener of the administration API.
 pub fn listen(state: AdminState, address: SocketAddr) -> Result<Listener, ListenError> {
     let server = App::new()
         .with_state(state)
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail of changes: configuration, endpoints, orders, the process itself.
+//! The audit trail: changes of the configuration, of endpoints and of the process itself.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -8,93 +8,93 @@
 use serde::{Deserialize, Serialize};
 use slog::{Logger, info};
 
-/// Entries that are kept; the oldest are let go of first, the log has them all.
+/// Entries kept in memory; the oldest are dropped first. All entries are also logged.
 const KEPT: usize = 1_024;
-/// Differences shown with one accepted configuration.
+/// Differences recorded for an accepted configuration; further ones are only counted.
 pub const SHOWN_CHANGES: usize = 32;
 
-/// What changed.
+/// A recorded change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum Change {
     /// The process started.
     Started {
-        /// Its incarnation.
+        /// Incarnation of the process.
         incarnation: String,
     },
-    /// The process was told to stop.
+    /// The process received the order to stop.
     Draining,
-    /// A configuration is in force.
+    /// A configuration came into force.
     ConfigAccepted {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
-        /// The version before; 0 where there was none.
+        /// Version of the previous configuration; 0 if there was none.
         before: u64,
-        /// Where it came from.
+        /// Source of the configuration.
         source: String,
-        /// What it changes; the first few.
+        /// The first differences from the previous configuration.
         changes: Vec<String>,
-        /// Changes in all.
+        /// Total number of differences.
         total: usize,
     },
-    /// A configuration was refused; the one before stays in force.
+    /// A configuration was rejected; the previous one stays in force.
     ConfigRejected {
-        /// Its version.
+        /// Version of the rejected configuration.
         version: u64,
-        /// What is wrong with it.
+        /// Errors found in the configuration.
         findings: Vec<String>,
     },
-    /// Another content came under a version that is in force.
+    /// Different content was received for the version that is in force.
     ConfigConflict {
-        /// The version.
+        /// Version of the configuration.
         version: u64,
-        /// The digest in force.
+        /// Digest of the configuration in force.
         ours: String,
-        /// The other digest.
+        /// Digest of the conflicting content.
         theirs: String,
     },
-    /// An endpoint's agent failed or can't be reached.
+    /// An endpoint's agent failed or is unreachable.
     EndpointSuspected {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: String,
     },
-    /// A suspected endpoint's agent was heard of again.
+    /// A suspected endpoint's agent is reachable again.
     EndpointBack {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: String,
     },
-    /// An endpoint takes no new work.
+    /// An endpoint accepts no new work.
     EndpointLeaving {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: String,
     },
-    /// An endpoint takes new work.
+    /// An endpoint accepts new work.
     EndpointServing {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: String,
     },
-    /// The platform stopped answering, or answers again.
+    /// The platform stopped responding, or responds again.
     Platform {
-        /// Whether it answers.
+        /// Whether the platform responds.
         answers: bool,
     },
-    /// An engine was ordered to load.
+    /// An engine was ordered to load a model.
     OrderGiven {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: String,
-        /// What it was told.
+        /// Content of the order.
         order: String,
-        /// Whether the engine took it.
+        /// Whether the engine accepted the order.
         accepted: bool,
     },
 }
 
-/// One change, with its time.
+/// A change with its time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Milliseconds since 1970, by this host's clock.
+    /// Milliseconds since the Unix epoch, by the clock of this host.
     pub at_unix_ms: u64,
-    /// What changed.
+    /// The recorded change.
     pub change: Change,
 }
 
@@ -105,7 +105,7 @@
     }
 }
 
-/// The trail of one process; clones share it.
+/// The audit trail of one process; clones share their entries.
 #[derive(Debug, Clone)]
 pub struct Audit {
     entries: Arc<Mutex<VecDeque<Entry>>>,
@@ -113,12 +113,12 @@
 }
 
 impl Audit {
-    /// An empty trail that also goes to `log`.
+    /// Creates an empty trail that also writes to `log`.
     pub fn new(log: Logger) -> Self {
         Self { entries: Arc::default(), log }
     }
 
-    /// Records a change.
+    /// Records and logs a change.
     pub fn record(&self, change: Change) {
         let text = serde_json::to_string(&change).unwrap_or_default();
         info!(self.log, "change"; "change" => text);
@@ -131,7 +131,7 @@
         entries.push_back(entry);
     }
 
-    /// The entries that are kept, the newest first.
+    /// Returns up to `count` entries, newest first.
     pub fn recent(&self, count: usize) -> Vec<Entry> {
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         entries.iter().rev().take(count).cloned().collect()
--- a/src/bin/stackmast.rs
+++ b/src/bin/stackmast.rs
@@ -1,4 +1,4 @@
-//! The operators' tool.
+//! The operators' command line tool.
 
 use std::process::ExitCode;
 
--- a/src/bin/stackmastd.rs
+++ b/src/bin/stackmastd.rs
@@ -1,4 +1,4 @@
-//! The daemon: a gateway or an agent, by its settings.
+//! The daemon: runs a gateway or an agent, according to its settings.
 
 use std::process::ExitCode;
 
--- a/src/channels.rs
+++ b/src/channels.rs
@@ -1,4 +1,5 @@
-//! Connections to other processes, one each, made when first needed and remade after a failure.
+//! Connections to other processes: one per address, opened on first use and reopened after a
+//! failure.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,40 +10,40 @@
 use tokio::sync::OnceCell;
 use tonic::transport::{Channel, Endpoint};
 
-/// How long a connection may take to be made.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// An open call's connection is asked for a sign of life this often.
+/// Interval of HTTP/2 keepalive pings on connections with open calls.
 const KEEP_ALIVE: Duration = Duration::from_secs(2);
-/// Connections that are kept; beyond that, all are let go of and remade when needed.
+/// Maximum number of cached connections; when it is exceeded, all are dropped and reopened on use.
 const MAX_CHANNELS: usize = 4_096;
 
-/// No connection was made, so nothing was sent.
+/// The connection could not be opened, so no request was sent.
 #[derive(Debug, Snafu)]
 #[snafu(display("can't connect to {address}: {source}"))]
 pub struct ConnectError {
-    /// To where.
+    /// Address of the peer.
     address: SocketAddr,
-    /// Why.
+    /// Cause of the failure.
     source: tonic::transport::Error,
 }
 
 type Slot = Arc<OnceCell<Channel>>;
 
-/// The connections of one process.
+/// Connection cache of one process.
 #[derive(Debug, Default)]
 pub struct Channels {
     slots: Mutex<HashMap<SocketAddr, Slot>>,
 }
 
 impl Channels {
-    /// The connection to `address`; concurrent callers share one attempt to make it.
+    /// Returns the connection to `address`; concurrent callers share one connection attempt.
     pub async fn get(&self, address: SocketAddr) -> Result<Channel, ConnectError> {
         let slot = self.slot(address);
         let channel = slot.get_or_try_init(|| connect(address)).await?;
         Ok(channel.clone())
     }
 
-    /// Lets go of the connection, so that the next call makes a new one.
+    /// Drops the cached connection, so that the next call opens a new one.
     pub fn forget(&self, address: SocketAddr) {
         self.slots.lock().unwrap_or_else(PoisonError::into_inner).remove(&address);
     }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,10 +1,10 @@
-//! The clock of a process: it counts the time in which its host is suspended.
+//! A process clock that includes the time during which the host is suspended.
 //!
-//! The pattern: a machine is suspended for seconds and goes on where it was. The steady clock of most runtimes stands
-//! still meanwhile, so a process that goes by it takes what it knows for as fresh as before: deadlines that are
-//! over, turns that are past, a watch that nobody answers any more. Others went on. So every age here is time since
-//! boot with suspensions; only the runtime's own timers are steady, and are bounded by the core's, which wakes
-//! every 200 ms.
+//! `std::time::Instant` stops while a virtual machine is suspended. After it resumes, a process
+//! that relies on such a clock would treat its state as fresh: expired deadlines, outdated turns,
+//! watches that no longer get a response. Its peers, meanwhile, continued. All ages are therefore
+//! computed from the time since boot, suspensions included. Only the runtime's timers exclude
+//! suspensions; they are bounded by the core's timer, which fires every 200 ms.
 
 use std::fmt;
 use std::sync::Arc;
@@ -14,13 +14,13 @@
 
 use crate::message::Timestamp;
 
-/// Time since the host was started, suspensions included.
+/// Returns the time since the host booted, suspensions included.
 pub fn since_boot() -> Duration {
-    // Every Linux from 2.6.39 on has this clock.
+    // `CLOCK_BOOTTIME` is available since Linux 2.6.39.
     clock_gettime(ClockId::CLOCK_BOOTTIME).map_or(Duration::ZERO, Duration::from)
 }
 
-/// Counts from the moment at which it was made.
+/// Measures the time since its creation.
 #[derive(Clone)]
 pub struct Clock {
     read: Arc<dyn Fn() -> Duration + Send + Sync>,
@@ -28,18 +28,18 @@
 }
 
 impl Clock {
-    /// A clock that goes by [`since_boot`].
+    /// Creates a clock based on [`since_boot`].
     pub fn of_host() -> Self {
         Self::new(since_boot)
     }
 
-    /// A clock that goes by another one, which must not go back.
+    /// Creates a clock based on another source, which must be monotonic.
     pub fn new(read: impl Fn() -> Duration + Send + Sync + 'static) -> Self {
         let start = read();
         Self { read: Arc::new(read), start }
     }
 
-    /// Time since it was made.
+    /// Returns the time since the clock was created.
     pub fn now(&self) -> Timestamp {
         (self.read)().saturating_sub(self.start)
     }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,4 +1,5 @@
-//! The daemon: starts a process's parts by its settings, and stops them without cutting anything off.
+//! The daemon: starts the parts of a process according to its settings and shuts them down
+//! gracefully.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -40,41 +41,41 @@
 use crate::wire::v1::agent_server::AgentServer;
 use crate::wire::v1::peer_server::PeerServer;
 
-/// A stopping process looks this often whether anything is in flight.
+/// Interval at which a stopping process checks whether anything is in flight.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
-/// After the last answer was handed to its socket, it is given this long to leave.
+/// Delay between the last response and closing the listeners, so that sockets can flush.
 const FLUSH: Duration = Duration::from_millis(200);
 
-/// Why the daemon ended.
+/// Reason for which the daemon failed.
 #[derive(Debug, Snafu)]
 pub enum DaemonError {
     /// A listener could not be opened.
     #[snafu(display("{source}"), context(false))]
     Listen {
-        /// Which, and why.
+        /// The listener's address and the cause.
         source: ListenError,
     },
     /// The runtime could not be started.
     #[snafu(display("can't start the runtime: {source}"))]
     Runtime {
-        /// Why.
+        /// Cause of the failure.
         source: std::io::Error,
     },
     /// Signals can't be received.
     #[snafu(display("can't receive signals: {source}"))]
     Signals {
-        /// Why.
+        /// Cause of the failure.
         source: std::io::Error,
     },
     /// The metrics could not be set up.
     #[snafu(display("can't record metrics: {source}"))]
     Metrics {
-        /// Why.
+        /// Cause of the failure.
         source: metrics_exporter_prometheus::BuildError,
     },
 }
 
-/// Runs a process until it is told to stop and nothing is in flight.
+/// Runs a process until it is ordered to stop and nothing is in flight.
 pub fn run(settings: Settings) -> Result<(), DaemonError> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(settings.threads)
@@ -84,7 +85,7 @@
     runtime.block_on(serve(Arc::new(settings)))
 }
 
-/// What every role's process has.
+/// The parts that processes of both roles have.
 struct Base {
     settings: Arc<Settings>,
     incarnation: Incarnation,
@@ -132,7 +133,7 @@
         admin::listen(state, self.settings.admin)
     }
 
-    /// Waits until the process is told to stop; further signals change nothing.
+    /// Waits for a signal or an order to stop; further signals have no effect.
     async fn told_to_stop(&self) -> Result<(), DaemonError> {
         let mut term = signal(SignalKind::terminate()).context(SignalsSnafu)?;
         let mut interrupt = signal(SignalKind::interrupt()).context(SignalsSnafu)?;
@@ -145,7 +146,7 @@
         Ok(())
     }
 
-    /// Waits until nothing is in flight, at most as long as the settings say.
+    /// Waits until nothing is in flight, at most for the drain timeout of the settings.
     async fn drained(&self, mut in_flight: impl AsyncFnMut() -> usize) {
         let until = Instant::now() + self.settings.bounds.drain_timeout;
         while Instant::now() < until && in_flight().await > 0 {
@@ -221,7 +222,7 @@
     PeerServer::new(service).max_decoding_message_size(MAX_MESSAGE_LEN)
 }
 
-/// Hands each configuration that comes in force to the core, compiled.
+/// Compiles each configuration that comes into force and sends it to the core.
 async fn configure_gateway(
     core: Handle<GatewayCore>,
     spread: Arc<Spread>,
@@ -312,7 +313,7 @@
     Ok(())
 }
 
-/// The endpoint that an agent stands beside, as the configuration names it.
+/// The endpoint beside which an agent runs, as named in the configuration.
 struct ConfiguredEndpoint {
     name: String,
     core: Handle<AgentCore>,
@@ -320,7 +321,7 @@
     audit: Audit,
 }
 
-/// Tells the core what the configuration and the host list say of its endpoint.
+/// Forwards changes of the endpoint in the configuration and the host list to the core.
 async fn configure_agent(
     configured: ConfiguredEndpoint,
     spread: Arc<Spread>,
@@ -350,7 +351,8 @@
 }
 
 impl ConfiguredEndpoint {
-    /// Returns whether the endpoint is leaving; one that is not in the configuration is.
+    /// Applies a configuration; returns whether the endpoint is draining, as is one that is not
+    /// configured.
     async fn apply(&self, config: &Config, listed_leaving: bool) -> bool {
         let found = config.endpoints.iter().find(|e| e.name == self.name);
         let kind = found.map_or(EndpointKind::Service, |e| e.kind);
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,4 +1,5 @@
-//! What both listeners share: reading bodies within bounds, JSON answers, problems, serving.
+//! Shared by all HTTP listeners: bounded reading of bodies, JSON responses, problem details,
+//! serving.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,55 +12,55 @@
 use xitca_web::http::header::{AUTHORIZATION, CONTENT_TYPE, HeaderValue};
 use xitca_web::http::{HeaderMap, StatusCode, WebResponse};
 
-/// The media type of problems (RFC 9457).
+/// Media type of problem details (RFC 9457).
 const PROBLEM_JSON: HeaderValue = HeaderValue::from_static("application/problem+json");
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 
-/// What is wrong with a caller's message, before anything of it ran.
+/// An invalid request of a caller, detected before any of it ran.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum BadInput {
-    /// The body is longer than the bound.
+    /// The body exceeds the size limit.
     #[snafu(display("the body is longer than {limit} bytes"))]
     TooLarge {
-        /// The bound.
+        /// The limit in bytes.
         limit: usize,
     },
-    /// The body did not come in time.
-    #[snafu(display("the body did not come within {} ms", limit.as_millis()))]
+    /// The body was not complete before the timeout.
+    #[snafu(display("the body was not received within {} ms", limit.as_millis()))]
     TooSlow {
-        /// The bound.
+        /// The timeout.
         limit: Duration,
     },
-    /// The connection failed in the body.
-    #[snafu(display("the body was cut"))]
+    /// The connection failed while the body was being received.
+    #[snafu(display("the connection failed before the body was complete"))]
     Cut,
-    /// The body is not the JSON that is documented.
-    #[snafu(display("the body can't be read: {message}"))]
+    /// The body doesn't match the documented JSON schema.
+    #[snafu(display("the body is invalid: {message}"))]
     Syntax {
-        /// Where and why.
+        /// Position and cause of the error.
         message: String,
     },
-    /// A value is outside its range.
+    /// A value is out of range.
     #[snafu(display("{field}: {allowed}"))]
     OutOfRange {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What is allowed.
+        /// The allowed values.
         allowed: String,
     },
-    /// No or a wrong bearer token.
+    /// The bearer token is missing or wrong.
     #[snafu(display("a valid bearer token is required"))]
     Unauthorised,
-    /// Nothing is known under this name.
-    #[snafu(display("{what} is not known here, or no longer"))]
+    /// The requested object is not known, or no longer known.
+    #[snafu(display("{what} is not known, or no longer known"))]
     Unknown {
-        /// What was asked for.
+        /// The requested object.
         what: String,
     },
 }
 
 impl BadInput {
-    /// The status that goes with it.
+    /// HTTP status of the error.
     pub const fn status(&self) -> StatusCode {
         match self {
             Self::TooLarge { .. } => StatusCode::PAYLOAD_TOO_LARGE,
@@ -92,7 +93,7 @@
     detail: String,
 }
 
-/// The answer to bad input.
+/// Builds the response to an invalid request.
 pub fn bad_input(error: &BadInput) -> WebResponse {
     let status = error.status();
     let problem = InputProblem {
@@ -107,22 +108,22 @@
     typed(status, PROBLEM_JSON, to_bytes(&problem))
 }
 
-/// The identifier of a kind of problem.
+/// Returns the URN of a kind of problem.
 pub fn problem_type(kind: &str) -> String {
     format!("urn:stackmast:problem:{kind}")
 }
 
-/// A JSON answer.
+/// Builds a JSON response.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> WebResponse {
     typed(status, JSON, to_bytes(value))
 }
 
-/// A problem as an answer.
+/// Builds a problem details response.
 pub fn problem<T: Serialize>(status: StatusCode, value: &T) -> WebResponse {
     typed(status, PROBLEM_JSON, to_bytes(value))
 }
 
-/// A plain text answer.
+/// Builds a plain text response.
 pub fn text(status: StatusCode, text: impl Into<Bytes>) -> WebResponse {
     typed(status, HeaderValue::from_static("text/plain; charset=utf-8"), text.into())
 }
@@ -131,7 +132,7 @@
     Bytes::from(serde_json::to_vec(value).unwrap_or_default())
 }
 
-/// An answer with a media type.
+/// Builds a response with the given media type.
 pub fn typed(status: StatusCode, media_type: HeaderValue, body: Bytes) -> WebResponse {
     let mut response = WebResponse::new(ResponseBody::bytes(body));
     *response.status_mut() = status;
@@ -139,7 +140,7 @@
     response
 }
 
-/// Reads a body within its bounds of length and time.
+/// Reads a body within the limits on its length and duration.
 pub async fn read_body(
     body: RequestBody,
     limit: usize,
@@ -165,7 +166,7 @@
     Ok(buffer.freeze())
 }
 
-/// Checks the bearer token, in a time that doesn't depend on where it differs.
+/// Checks the bearer token in constant time, so that timing doesn't reveal where it differs.
 pub fn authorise(headers: &HeaderMap, token: &str) -> Result<(), BadInput> {
     let given = headers.get(AUTHORIZATION).and_then(|v| v.to_str().ok());
     let given = given.and_then(|v| v.strip_prefix("Bearer ")).unwrap_or_default();
@@ -175,13 +176,13 @@
     Err(BadInput::Unauthorised)
 }
 
-/// Why a listener could not be opened.
+/// A listener could not be opened.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)), display("can't listen on {address}: {source}"))]
 pub struct ListenError {
-    /// Where.
+    /// Address of the listener.
     pub address: SocketAddr,
-    /// Why.
+    /// Cause of the failure.
     pub source: std::io::Error,
 }
 
@@ -192,7 +193,7 @@
 }
 
 impl Listener {
-    /// Runs a server on threads of its own.
+    /// Starts a server on its own threads.
     pub fn start(
         mut server: xitca_server::ServerFuture,
         address: SocketAddr,
@@ -202,7 +203,7 @@
         Ok(Self { handle, thread })
     }
 
-    /// Stops the server at once; the process has seen to it that nothing is in flight.
+    /// Stops the server immediately; the caller has made sure that nothing is in flight.
     pub fn stop(self) {
         self.handle.stop(false);
         self.thread.join().ok();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
 //! stackmast: a serving system for multi-stage model pipelines.
 //!
-//! Two kinds of process, one daemon: a gateway takes callers' requests and decides, an agent stands
-//! beside each endpoint and alone knows what has begun to run there. See docs/DESIGN.md.
+//! One daemon has two roles: a gateway accepts callers' requests and schedules their stages; an
+//! agent runs beside each endpoint and is the only authority on which attempts have started there.
+//! See docs/DESIGN.md.
 
 pub mod actor;
 pub mod admin;
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs: JSON lines, one for each decision and each change of state; bounded, never blocking.
+//! JSON-lines logging, one line per decision or state change; bounded and non-blocking.
 
 use std::io::Write;
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
@@ -7,17 +7,17 @@
 use serde::Serialize;
 use slog::{Drain, Logger, o};
 
-/// Lines that wait to be written; more are dropped and counted by the drain.
+/// Capacity of the queue of lines to write; further lines are dropped and counted by the drain.
 const BUFFERED_LINES: usize = 1_024;
 
-/// The logger of one process.
+/// Creates the logger of a process.
 pub fn logger(host: &str, role: &'static str) -> Logger {
     let json = slog_json::Json::default(std::io::stderr()).fuse();
     let drain = slog_async::Async::new(json).chan_size(BUFFERED_LINES).build().fuse();
     Logger::root(drain, o!("host" => host.to_owned(), "role" => role))
 }
 
-/// A logger that writes nothing, for tests and tools.
+/// Creates a logger that discards everything, for tests and tools.
 pub fn silent() -> Logger {
     Logger::root(slog::Discard, o!())
 }
@@ -30,8 +30,8 @@
     note: &'a T,
 }
 
-/// Typed lines on standard output, written by a thread of their own; what it can't keep up with is
-/// dropped and counted in [`crate::metrics::LINES_DROPPED`].
+/// Writes serialized lines to standard output from a separate thread. Lines are dropped and counted
+/// in [`crate::metrics::LINES_DROPPED`] when the thread can't keep up.
 #[derive(Debug, Clone)]
 pub struct Lines {
     host: String,
@@ -39,14 +39,14 @@
 }
 
 impl Lines {
-    /// Starts the thread.
+    /// Starts the writer thread.
     pub fn new(host: &str) -> Self {
         let (sender, receiver) = sync_channel(BUFFERED_LINES);
         std::thread::spawn(move || write_lines(&receiver));
         Self { host: host.to_owned(), sender }
     }
 
-    /// Writes a line, or drops it.
+    /// Queues a line, or drops it if the queue is full.
     pub fn write<T: Serialize>(&self, note: &T) {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let line = Line { at_unix_ms: since.as_millis() as u64, host: &self.host, note };
@@ -58,7 +58,7 @@
     }
 }
 
-/// Writes all lines that wait at once, so that a burst costs few calls.
+/// Writes all queued lines together, to save system calls in a burst.
 fn write_lines(receiver: &Receiver<Vec<u8>>) {
     while let Ok(mut text) = receiver.recv() {
         while let Ok(more) = receiver.try_recv() {
--- a/src/message.rs
+++ b/src/message.rs
@@ -1,4 +1,4 @@
-//! The typed messages between a gateway and the agents, and the identities in them.
+//! The typed messages between gateways and agents, and the identifiers they carry.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,15 +8,15 @@
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, Snafu};
 
-/// Time since the start of the process; the cores never read a clock.
+/// Time since the process started; cores get it as an argument and never read a clock.
 pub type Timestamp = Duration;
 
-/// One life of a process; drawn at random when it starts, never 0.
+/// Identifies one run of a process; drawn at random at startup, never 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// Stands for "not known yet"; every agent refuses it.
+    /// Placeholder for an unknown incarnation; every agent refuses it.
     pub const UNKNOWN: Self = Self(0);
 }
 
@@ -26,22 +26,22 @@
     }
 }
 
-/// An identity that is not written as one.
+/// The text is not a valid request identifier.
 #[derive(Debug, Snafu, PartialEq, Eq)]
-#[snafu(display("{text:?} is not a request id: expected gateway.incarnation.number"))]
+#[snafu(display("{text:?} is not a valid request id: expected gateway.incarnation.number"))]
 pub struct BadRequestId {
-    /// The text.
+    /// The invalid text.
     text: String,
 }
 
-/// Names a request, and with it the gateway that decided it.
+/// Identifies a request and the gateway that scheduled it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId {
-    /// The gateway's host name in the settings.
+    /// Host name of the gateway in the settings.
     pub gateway: std::sync::Arc<str>,
-    /// The gateway's incarnation.
+    /// Incarnation of the gateway.
     pub incarnation: Incarnation,
-    /// Counts the requests of that incarnation.
+    /// Sequence number of the request within the incarnation.
     pub number: u64,
 }
 
@@ -66,12 +66,12 @@
     Some(RequestId { gateway: gateway.into(), incarnation, number: number.parse().ok()? })
 }
 
-/// One attempt to run one stage of one request; never used twice.
+/// Identifies one attempt to run one stage of one request; never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The gateway's incarnation.
+    /// Incarnation of the gateway.
     pub gateway: Incarnation,
-    /// Counts the attempts of that incarnation.
+    /// Sequence number of the attempt within the incarnation.
     pub sequence: u64,
 }
 
@@ -81,84 +81,86 @@
     }
 }
 
-/// What a gateway asks of an agent: run a stage, or go on sending what an attempt gave.
+/// Request of a gateway to an agent: run a stage, or resume sending the result of an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Run {
-    /// This attempt.
+    /// Identifier of the attempt.
     pub attempt: AttemptId,
-    /// The agent's incarnation that is meant; another one must not begin it.
+    /// Incarnation of the agent that is addressed; any other must not start the attempt.
     pub agent: Incarnation,
-    /// The endpoint that is meant.
+    /// Name of the endpoint that is addressed.
     pub endpoint: String,
-    /// The request, for the endpoint's own records.
+    /// Identifier of the request, for the endpoint's records.
     pub request: String,
-    /// The stage's name.
+    /// Name of the stage.
     pub stage: String,
-    /// Whose fair share it is.
+    /// Organisation to which the fair share of the attempt is charged.
     pub organisation: String,
-    /// A higher one leaves the queue first.
+    /// Queue priority; higher values leave the queue first.
     pub priority: u8,
     /// Time left until the caller's deadline.
     pub time_left: Duration,
-    /// From where to go on, in bytes, when this attempt was asked for before; `None` begins it.
+    /// Offset in bytes from which to resume the result of a known attempt; `None` starts the
+    /// attempt.
     pub resume: Option<u64>,
-    /// The claim that must be granted before a request under a ticket begins.
+    /// Claim that must be granted before a request with a ticket starts.
     pub claim: Option<Claim>,
-    /// The stage's input.
+    /// Input of the stage.
     pub input: Bytes,
 }
 
-/// A request under a ticket: the ticket's home must grant its first hand-over.
+/// Claim of a request with a ticket; the agent that issued the ticket must grant its first
+/// dispatch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Claim {
-    /// The ticket's number at its home.
+    /// Number of the ticket at the agent that issued it.
     pub ticket: u64,
-    /// The home's incarnation.
+    /// Incarnation of the agent that issued the ticket.
     pub home: Incarnation,
-    /// The home's address.
+    /// Address of the agent that issued the ticket.
     pub address: std::net::SocketAddr,
-    /// The run that asks: the gateway's incarnation and the request's number.
+    /// Run that requests the grant.
     pub run: RunId,
 }
 
-/// One run of a request under a ticket: whichever gateway carries it out.
+/// Identifies one run of a request with a ticket, by the gateway that carries it out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RunId {
-    /// The gateway's incarnation.
+    /// Incarnation of the gateway.
     pub gateway: Incarnation,
-    /// The request's number there.
+    /// Sequence number of the request at the gateway.
     pub number: u64,
 }
 
-/// How much of something ran, in every refusal.
+/// How much of a refused request or attempt has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
-    /// Nothing of it has run, nor will.
+    /// Nothing has run, and nothing will run.
     NotRun,
-    /// Earlier stages ran; the rest has not and will not.
+    /// Earlier stages ran; the rest has not run and will not run.
     RanInPart,
     /// It may have run.
     Unknown,
 }
 
-/// Why an agent refuses or gives up an attempt.
+/// Reason for which an agent refuses or abandons an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AgentReason {
     /// The agent's queue is full.
     QueueFull,
-    /// The endpoint or its agent is leaving.
+    /// The endpoint or its agent is draining.
     Leaving,
-    /// The message meant another life of this agent.
+    /// The message was addressed to another incarnation of the agent.
     WrongIncarnation,
-    /// The message meant another endpoint.
+    /// The message was addressed to another endpoint.
     WrongEndpoint,
-    /// The gateway took the attempt back.
+    /// The gateway revoked the attempt.
     Revoked,
-    /// The deadline passed in the queue.
+    /// The deadline expired in the queue.
     DeadlinePassed,
-    /// The attempt is not known here (any more).
+    /// The attempt is not known, or no longer known.
     Forgotten,
     /// The gateway could not reach the agent.
     AgentUnreachable,
@@ -166,18 +168,18 @@
     EndpointUnreachable,
     /// The endpoint failed while it ran the attempt.
     EndpointFailed,
-    /// Nothing was heard of it for far longer than such a stage takes.
+    /// The attempt made no progress for far longer than such a stage takes.
     Stalled,
-    /// The endpoint answered for another attempt, or more than the bound.
+    /// The endpoint responded to another attempt, or its response exceeds the size limit.
     EndpointMisbehaved,
-    /// The ticket's home did not grant the run.
+    /// The agent that issued the ticket did not grant the run.
     ClaimRefused,
-    /// The peer speaks another version of the protocol.
+    /// The peer uses another protocol version.
     ProtocolVersion,
 }
 
 impl AgentReason {
-    /// The word in explanations and metrics.
+    /// Label used in explanations and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::QueueFull => "queue_full",
@@ -198,67 +200,67 @@
     }
 }
 
-/// What an agent says of an attempt.
+/// Report of an agent on an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reply {
-    /// It waits in the agent's queue.
+    /// The attempt is in the agent's queue.
     Queued,
-    /// It was handed over to the endpoint.
+    /// The attempt was sent to the endpoint.
     Begun,
-    /// A piece of the result.
+    /// A chunk of the result.
     Chunk {
-        /// Where the piece starts, in bytes.
+        /// Offset of the chunk in bytes.
         offset: u64,
-        /// The piece.
+        /// Content of the chunk.
         data: Bytes,
     },
-    /// The result is whole.
+    /// The result is complete.
     Done {
-        /// Its bytes.
+        /// Length of the result in bytes.
         length: u64,
-        /// xxh3-64 of them.
+        /// xxh3-64 digest of the result.
         digest: u64,
-        /// Time at the endpoint.
+        /// Service time at the endpoint.
         service: Duration,
     },
-    /// It ended without a result.
+    /// The attempt ended without a result.
     Refused {
-        /// `NotRun` is a proof; anything else is not.
+        /// Whether the attempt ran; only `NotRun` proves that it didn't.
         ran: Ran,
-        /// Why.
+        /// Reason of the failure.
         reason: AgentReason,
-        /// When to come back.
+        /// Delay after which a retry is worthwhile.
         retry_after: Duration,
     },
 }
 
 impl Reply {
-    /// Whether nothing follows it.
+    /// Whether this is the last reply of an attempt.
     pub const fn is_final(&self) -> bool {
         matches!(self, Self::Done { .. } | Self::Refused { .. })
     }
 }
 
-/// What an agent reports of its load, with every reply.
+/// Load of an agent, reported with every reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Load {
-    /// Attempts that wait.
+    /// Attempts in the queue.
     pub queued: u32,
-    /// Attempts handed over and not ended.
+    /// Attempts sent to the endpoint that have not ended.
     pub running: u32,
-    /// Attempts that it hands over at once.
+    /// Maximum number of attempts at the endpoint at once.
     pub limit: u32,
 }
 
-/// What became of an attempt that a gateway takes back.
+/// Outcome of the revocation of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Revocation {
-    /// It has not run and will not.
+    /// The attempt has not run and will not run.
     NotRun,
-    /// It was handed over.
+    /// The attempt was sent to the endpoint.
     Begun,
-    /// This life of the agent can't know.
+    /// The agent's incarnation has no record of the attempt.
     Unknown,
-    /// The agent did not answer.
+    /// The agent did not respond.
     Unreachable,
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics: their names in one place, and the few helpers that the cores call.
+//! Names and help texts of all metrics, and helpers that record them.
 
 use std::time::Duration;
 
@@ -10,35 +10,35 @@
 use crate::message::Ran;
 use crate::refusal::Refusal;
 
-/// Requests answered in full, by whether that was within the deadline.
+/// Requests answered completely, by whether the deadline was met.
 pub const COMPLETED: &str = "stackmast_requests_completed_total";
-/// Requests refused, by reason and by what ran.
+/// Requests refused, by reason and by how much had run.
 pub const REFUSED: &str = "stackmast_requests_refused_total";
-/// Time from a request's arrival to its whole answer, in seconds.
+/// Time from a request's arrival to its complete response, in seconds.
 pub const LATENCY: &str = "stackmast_request_seconds";
-/// Time from sending an attempt to its hand-over, in seconds.
+/// Time from sending an attempt to its dispatch to the endpoint, in seconds.
 pub const WAITED: &str = "stackmast_stage_wait_seconds";
-/// Seconds of endpoint time that gave an adopted result, by stage.
+/// Endpoint time in seconds spent on adopted results, by stage.
 pub const STAGE_SECONDS: &str = "stackmast_stage_service_seconds_total";
 /// Cost of adopted results by stage: seconds times the endpoint's relative cost.
 pub const STAGE_COST: &str = "stackmast_stage_cost_total";
-/// Attempts whose result could not be had and that were run again, by stage.
+/// Attempts with an unknown outcome whose stage was run again, by stage.
 pub const STAGE_WASTED: &str = "stackmast_stage_wasted_attempts_total";
-/// Second and further attempts of a stage.
+/// Second and later attempts of a stage.
 pub const RETRIES: &str = "stackmast_retries_total";
-/// Retries that the budget holds now.
+/// Retries currently available in the retry budget.
 pub const RETRY_BUDGET: &str = "stackmast_retry_budget";
-/// Replies that matched no open call.
+/// Replies that match no open call.
 pub const STRAYS: &str = "stackmast_stray_replies_total";
-/// Results whose length or digest was wrong.
+/// Results with a wrong length or digest.
 pub const MISMATCHES: &str = "stackmast_result_mismatches_total";
-/// Invariants found broken; always 0.
+/// Invariant violations; always 0.
 pub const INVARIANT_VIOLATIONS: &str = "stackmast_invariant_violations_total";
-/// Requests in flight in this gateway, or attempts in this agent.
+/// Requests in flight in a gateway, or attempts in flight in an agent.
 pub const IN_FLIGHT: &str = "stackmast_in_flight";
-/// The version of the configuration in force.
+/// Version of the configuration in force.
 pub const CONFIG_VERSION: &str = "stackmast_config_version";
-/// Seconds since the platform last answered.
+/// Seconds since the last response of the platform.
 pub const PLATFORM_AGE: &str = "stackmast_platform_age_seconds";
 /// Calls to the platform, by outcome.
 pub const PLATFORM_CALLS: &str = "stackmast_platform_calls_total";
@@ -47,51 +47,51 @@
 /// Bytes of documents sent to and received from peers and the platform.
 pub const CONTROL_BYTES: &str = "stackmast_control_bytes_total";
 
-/// Lines that were dropped because standard output did not keep up.
+/// Log lines dropped because standard output did not keep up.
 pub const LINES_DROPPED: &str = "stackmast_log_lines_dropped_total";
-/// Messages to other gateways that were dropped because their queue was full.
+/// Messages to other gateways dropped because the queue was full.
 pub const PEER_DROPPED: &str = "stackmast_peer_messages_dropped_total";
-/// Messages of other gateways that could not be read.
+/// Messages from other gateways that could not be decoded.
 pub const PEER_BAD: &str = "stackmast_peer_messages_bad_total";
 /// Other gateways that run another build.
 pub const OTHER_BUILDS: &str = "stackmast_peers_of_other_builds";
-/// Always 1: the build that runs, by version, commit and the form of its messages.
+/// Always 1; labelled with the version and commit of the build and its message form.
 pub const BUILD_INFO: &str = "stackmast_build_info";
 /// Bytes of messages between gateways, by direction and kind.
 pub const PEER_BYTES: &str = "stackmast_peer_bytes_total";
-/// Documents of the platform that could not be read, each time they were.
+/// Platform documents that could not be read, counted on each read.
 pub const UNREADABLE: &str = "stackmast_unreadable_documents_total";
-/// Headers of answers that belong to the platform and are not read, by source.
+/// Platform headers that are ignored in responses, by source.
 pub const UNKNOWN_HEADERS: &str = "stackmast_unknown_headers_total";
-/// The newest known era of the publisher's store.
+/// Newest known era of the publisher's store.
 pub const STORE_ERA: &str = "stackmast_store_era";
-/// The version of the configuration that was last read from the publisher's store.
+/// Version of the configuration last read from the publisher's store.
 pub const PUBLISHED_VERSION: &str = "stackmast_published_version";
-/// Data centres that are evacuated.
+/// Data centres that are being evacuated.
 pub const EVACUATED: &str = "stackmast_evacuated_data_centres";
-/// Contents that are refused because endpoints crashed under them.
+/// Request contents refused because they crashed endpoints.
 pub const POISON: &str = "stackmast_poison_requests";
-/// Messages to endpoints that were ordered and not sent, since the endpoint said meanwhile that it wants nothing.
+/// Ordered messages to endpoints that were withheld because the endpoint had since asked for none.
 pub const WITHHELD: &str = "stackmast_messages_withheld_total";
-/// Decisions and changes of belief, by kind.
+/// Decisions and changes of estimated state, by kind.
 pub const DECISIONS: &str = "stackmast_decisions_total";
-/// Time of calls with pieces, in seconds.
+/// Duration of batch calls, in seconds.
 pub const BATCH_SECONDS: &str = "stackmast_batch_seconds";
-/// Pieces in a call.
+/// Pieces in a batch call.
 pub const BATCH_PIECES: &str = "stackmast_batch_pieces";
 
-/// Requests that a process took after the signal to stop, or turned away because of it, by where.
+/// Requests accepted or refused after the order to stop, by place of the decision.
 pub const STOP_DECIDED: &str = "stackmast_stop_decided_total";
-/// Requests that the end of a process cut, by what they were.
+/// Requests aborted by the end of the process, by kind.
 pub const CUT_BY_STOP: &str = "stackmast_cut_by_stop_total";
 /// Configurations sent to peers, by outcome.
 pub const BULK: &str = "stackmast_bulk_sent_total";
-/// Time that events wait for the core, in seconds.
+/// Time that events wait in the core's queue, in seconds.
 pub const CORE_WAIT: &str = "stackmast_core_wait_seconds";
-/// Time that the core takes for an event, in seconds.
+/// Time that the core takes to handle an event, in seconds.
 pub const CORE_TOOK: &str = "stackmast_core_event_seconds";
 
-/// Gives every metric its help text.
+/// Registers the help text of every metric.
 pub fn describe() {
     describe_counter!(COMPLETED, "Requests answered in full, by in_time");
     describe_counter!(REFUSED, "Requests refused, by reason and ran");
@@ -142,13 +142,13 @@
         .set(1.0);
 }
 
-/// A request was answered in full.
+/// Records a request that was answered completely.
 pub fn completed(took: Duration, in_time: bool) {
     counter!(COMPLETED, "in_time" => if in_time { "true" } else { "false" }).increment(1);
     histogram!(LATENCY).record(took.as_secs_f64());
 }
 
-/// A request was refused.
+/// Records a refused request.
 pub fn refused(refusal: &Refusal) {
     let ran = match refusal.ran {
         Ran::NotRun => "not_run",
@@ -158,12 +158,13 @@
     counter!(REFUSED, "reason" => refusal.reason.as_str(), "ran" => ran).increment(1);
 }
 
-/// An attempt was handed over after this time.
+/// Records the time from sending an attempt to its dispatch.
 pub fn waited(time: Duration) {
     histogram!(WAITED).record(time.as_secs_f64());
 }
 
-/// A stage's result was adopted; counters hold whole numbers, so time and cost are in microseconds.
+/// Records an adopted result of a stage. Counters are integers, so time and cost are in
+/// microseconds.
 pub fn stage_done(stage: &str, service: Duration, cost: f64) {
     let micros = service.as_micros() as u64;
     counter!(STAGE_SECONDS, "stage" => stage.to_owned(), "unit" => "us").increment(micros);
@@ -171,62 +172,62 @@
     counter!(STAGE_COST, "stage" => stage.to_owned(), "unit" => "us").increment(cost);
 }
 
-/// An attempt's work is lost and is done again.
+/// Counts an attempt with an unknown outcome whose stage is run again.
 pub fn wasted(stage: &str) {
     counter!(STAGE_WASTED, "stage" => stage.to_owned()).increment(1);
 }
 
-/// A stage is sent a second or further time.
+/// Counts a second or later attempt of a stage.
 pub fn retried() {
     counter!(RETRIES).increment(1);
 }
 
-/// A reply matched no open call.
+/// Counts a reply that matches no open call.
 pub fn stray() {
     counter!(STRAYS).increment(1);
 }
 
-/// A result had a wrong length or digest.
+/// Counts a result with a wrong length or digest.
 pub fn mismatch() {
     counter!(MISMATCHES).increment(1);
 }
 
-/// Document bytes that went in a direction, `in` or `out`.
+/// Adds document bytes in a direction, `in` or `out`.
 pub fn control_bytes(direction: &'static str, bytes: usize) {
     counter!(CONTROL_BYTES, "direction" => direction).increment(bytes as u64);
 }
 
-/// A message of another gateway came, or one went out to one.
+/// Adds the bytes of a message from or to another gateway.
 pub fn peer_bytes(direction: &'static str, kind: &'static str, bytes: usize) {
     counter!(PEER_BYTES, "direction" => direction, "kind" => kind).increment(bytes as u64);
 }
 
-/// Retries that the budget holds.
+/// Sets the number of retries available in the retry budget.
 pub fn retry_budget(retries: f64) {
     gauge!(RETRY_BUDGET).set(retries);
 }
 
-/// How many requests or attempts are in flight.
+/// Sets the number of requests or attempts in flight.
 pub fn in_flight(count: usize) {
     gauge!(IN_FLIGHT).set(count as f64);
 }
 
-/// A message was not sent, since its endpoint wants nothing.
+/// Counts a message that was withheld because its endpoint asked for none.
 pub fn withheld(asked: CallKind) {
     counter!(WITHHELD, "asked" => asked.as_str()).increment(1);
 }
 
-/// So many other gateways run another build.
+/// Sets the number of other gateways that run another build.
 pub fn peers_of_other_builds(peers: usize) {
     gauge!(OTHER_BUILDS).set(peers as f64);
 }
 
-/// So many contents are refused because endpoints crashed under them.
+/// Sets the number of request contents refused because they crashed endpoints.
 pub fn poison(contents: usize) {
     gauge!(POISON).set(contents as f64);
 }
 
-/// The core handled an event.
+/// Records the queueing delay and handling time of an event.
 pub fn core_handled(waited: Duration, took: Duration) {
     histogram!(CORE_WAIT).record(waited.as_secs_f64());
     histogram!(CORE_TOOK).record(took.as_secs_f64());
@@ -237,12 +238,12 @@
     gauge!(STORE_ERA).set(era as f64);
 }
 
-/// A configuration was read from the publisher's store.
+/// Records the version of a configuration read from the publisher's store.
 pub fn published_version(version: u64) {
     gauge!(PUBLISHED_VERSION).set(version as f64);
 }
 
-/// Counts a decision or change of belief, and what it measured.
+/// Counts a decision or change of estimated state, and records its measurements.
 pub fn log_event(event: &LogEvent) {
     counter!(DECISIONS, "kind" => event.kind()).increment(1);
     match event {
--- a/src/options.rs
+++ b/src/options.rs
@@ -1,46 +1,46 @@
-//! The daemon's command line, read in one place into one plain struct.
+//! Command line options of the daemon, and the exit codes.
 
 use std::path::PathBuf;
 
 use getopts::Options as Parser;
 use snafu::{ResultExt, Snafu};
 
-/// What the daemon is told on its command line.
+/// Parsed command line of the daemon.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Options {
-    /// Run with these settings.
+    /// Run a process with these settings.
     Run {
-        /// The settings file.
+        /// Path of the settings file.
         settings: PathBuf,
     },
-    /// Only check the settings.
+    /// Check the settings and exit.
     Check {
-        /// The settings file.
+        /// Path of the settings file.
         settings: PathBuf,
     },
-    /// Print this text and end.
+    /// Print this text and exit.
     Print(String),
 }
 
-/// A command line that can't be read.
+/// Invalid command line.
 #[derive(Debug, Snafu)]
 pub enum OptionsError {
-    /// An unknown option, or one without its value.
+    /// An option is unknown or lacks its value.
     #[snafu(display("{source}; see --help"))]
     Syntax {
-        /// Which.
+        /// The invalid option.
         source: getopts::Fail,
     },
-    /// The settings file is not named.
+    /// The settings file is missing.
     #[snafu(display("--settings FILE is required; see --help"))]
     NoSettings,
 }
 
-/// Reads the arguments after the program's name.
+/// Parses the arguments after the program name.
 pub fn parse(args: &[String]) -> Result<Options, OptionsError> {
     let mut parser = Parser::new();
     parser.optopt("s", "settings", "the process's settings, in JSON", "FILE");
-    parser.optflag("", "check", "check the settings and end");
+    parser.optflag("", "check", "check the settings and exit");
     parser.optflag("h", "help", "print this help");
     parser.optflag("V", "version", "print the version");
     let matches = parser.parse(args).context(SyntaxSnafu)?;
@@ -61,21 +61,21 @@
 
 /// Exit codes of the daemon and the tool.
 pub mod exit {
-    /// All went well.
+    /// Success.
     pub const OK: u8 = 0;
-    /// It ran and found something wrong.
+    /// The operation failed, or a check found errors.
     pub const FAILED: u8 = 1;
-    /// The command line can't be read.
+    /// The command line is invalid.
     pub const USAGE: u8 = 2;
-    /// A file or message is not what it must be.
+    /// A file or message is invalid.
     pub const INVALID: u8 = 3;
     /// A process can't be reached.
     pub const UNREACHABLE: u8 = 4;
-    /// What was asked for is not known (any more).
+    /// The requested object is not known, or no longer known.
     pub const NOT_KNOWN: u8 = 5;
 }
 
-/// Carries the daemon's command line out and returns its exit code.
+/// Executes the daemon's command line and returns the exit code.
 pub fn main(args: &[String]) -> u8 {
     let options = match parse(args) {
         Ok(options) => options,
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,4 +1,4 @@
-//! What processes ask each other about documents and requests.
+//! The peer service: exchange of documents between processes, and explanations of requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,19 +18,19 @@
 use crate::wire::v1::peer_client::PeerClient;
 use crate::wire::{PROTOCOL, v1};
 
-/// Parts that wait to be sent on one call.
+/// Capacity of the queue of parts to send in one call.
 const PARTS_BUFFERED: usize = 4;
-/// How long another gateway may take to explain.
+/// Timeout for an explanation from another gateway.
 const EXPLAIN_TIMEOUT: Duration = Duration::from_secs(1);
-/// Peers that are asked where the host list does not name the gateway.
+/// Maximum number of peers to ask when the host list does not contain the gateway.
 const PEERS_ASKED: usize = 16;
 
-/// Answers other processes.
+/// gRPC service that answers the requests of other processes.
 #[derive(Clone)]
 pub struct PeerService {
-    /// The documents.
+    /// Distribution of configuration and host list.
     pub spread: Arc<Spread>,
-    /// The gateway's core, in a gateway.
+    /// Core of the gateway; `None` in an agent.
     pub gateway: Option<Handle<GatewayCore>>,
 }
 
@@ -44,7 +44,7 @@
     ) -> Result<Response<v1::ExchangeReply>, Status> {
         let request = request.into_inner();
         if request.protocol != PROTOCOL {
-            return Err(Status::failed_precondition("another version of the protocol"));
+            return Err(Status::failed_precondition("unsupported protocol version"));
         }
         if let Ok(peer) = request.address.parse::<SocketAddr>() {
             let spread = self.spread.clone();
@@ -63,7 +63,7 @@
                 installed.and_then(|i| serde_json::to_vec(&i.bundle.manifest).ok())
             }
             HOSTS => serde_json::to_vec(&*self.spread.hosts()).ok(),
-            _ => return Err(Status::not_found("no such document")),
+            _ => return Err(Status::not_found("unknown document")),
         };
         let manifest = manifest.unwrap_or_default();
         m::control_bytes("out", manifest.len());
@@ -75,7 +75,7 @@
         request: Request<v1::PartsRequest>,
     ) -> Result<Response<Self::PartsStream>, Status> {
         let installed = self.spread.store().installed();
-        let installed = installed.ok_or_else(|| Status::not_found("no configuration"))?;
+        let installed = installed.ok_or_else(|| Status::not_found("no configuration in force"))?;
         let (sender, receiver) = mpsc::channel(PARTS_BUFFERED);
         tokio::spawn(async move {
             for digest in request.into_inner().digests {
@@ -107,13 +107,13 @@
     }
 }
 
-/// Explains a request of this gateway's.
+/// Explains a request of this gateway.
 pub async fn explain_here(gateway: &Handle<GatewayCore>, id: RequestId) -> Option<Explanation> {
     let record = gateway.inspect(move |core, _| core.record(&id)).await.ok()??;
     Some(Explanation::from(&*record))
 }
 
-/// Has another gateway explain a request of its.
+/// Requests an explanation from the gateway that scheduled the request.
 pub async fn explain_elsewhere(
     spread: &Spread,
     channels: &Channels,
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,4 +1,4 @@
-//! Reads what the platform publishes: configuration values and the list of hosts.
+//! Client of the platform: reads configuration values and the host list.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,93 +15,93 @@
 use crate::config::parts::{MANIFEST_KEY, MAX_PART_LEN, Manifest, PART_PREFIX};
 use crate::metrics as m;
 
-/// How long one call may take.
+/// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest answer that is read: a value, or the host list.
+/// Maximum length of a response in bytes; the largest are values and the host list.
 const MAX_ANSWER_LEN: usize = 4 * MAX_PART_LEN;
 
-/// Why the platform gave nothing that can be used.
+/// Reason for which a call to the platform failed.
 #[derive(Debug, Snafu)]
 pub enum PlatformError {
-    /// The call was not answered in time.
-    #[snafu(display("{path}: no answer in time"))]
+    /// The call timed out.
+    #[snafu(display("{path}: request timed out"))]
     TimedOut {
-        /// What was asked for.
+        /// Path of the request.
         path: String,
     },
     /// The call failed.
     #[snafu(display("{path}: {source}"))]
     Call {
-        /// What was asked for.
+        /// Path of the request.
         path: String,
-        /// Why.
+        /// Cause of the failure.
         source: hyper_util::client::legacy::Error,
     },
-    /// The path makes no request.
+    /// The path is not valid in a request.
     #[snafu(display("{path}: {source}"))]
     Request {
-        /// What was asked for.
+        /// Path of the request.
         path: String,
-        /// Why.
+        /// Cause of the failure.
         source: hyper::http::Error,
     },
-    /// The answer is too long or was cut.
-    #[snafu(display("{path}: the answer can't be read"))]
+    /// The response exceeds the length limit or is incomplete.
+    #[snafu(display("{path}: the response is too long or incomplete"))]
     Body {
-        /// What was asked for.
+        /// Path of the request.
         path: String,
     },
-    /// The platform answered with an error.
+    /// The platform responded with an error status.
     #[snafu(display("{path}: status {status}"))]
     Status {
-        /// What was asked for.
+        /// Path of the request.
         path: String,
-        /// The status.
+        /// HTTP status of the response.
         status: StatusCode,
     },
-    /// The answer is not what is documented.
+    /// The response doesn't match its documented schema.
     #[snafu(display("{path}: {source}"))]
     Syntax {
-        /// What was asked for.
+        /// Path of the request.
         path: String,
-        /// Where and why.
+        /// Position and cause of the error.
         source: serde_json::Error,
     },
 }
 
-/// Whether a host is to be given new work.
+/// Whether a host gets new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// It serves.
+    /// The host gets new work.
     Live,
-    /// It is about to be taken away.
+    /// The host is about to be removed and gets no new work.
     Leaving,
 }
 
-/// A host, as the platform lists it.
+/// A host in the platform's host list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// Its name.
+    /// Name of the host.
     pub name: String,
-    /// Where its process of this system answers others.
+    /// Address on which the host's process accepts connections of other processes.
     pub internal: SocketAddr,
-    /// Whether it is a gateway; else an agent.
+    /// Whether the host runs a gateway; otherwise it runs an agent.
     pub gateway: bool,
-    /// Live or leaving.
+    /// State of the host.
     pub state: HostState,
 }
 
-/// The platform's list of hosts; it lags.
+/// The platform's list of hosts; it may lag behind the actual state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
 pub struct HostList {
-    /// Grows with every change of the list.
+    /// Version of the list, which grows with every change.
     pub revision: u64,
-    /// The hosts.
+    /// All listed hosts.
     pub hosts: Vec<Host>,
 }
 
-/// A client of the platform.
+/// HTTP client of the platform.
 #[derive(Debug, Clone)]
 pub struct Platform {
     address: SocketAddr,
@@ -109,12 +109,12 @@
 }
 
 impl Platform {
-    /// A client of the platform at `address`.
+    /// Creates a client for the platform at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, client: Client::builder(TokioExecutor::new()).build_http() }
     }
 
-    /// The manifest of the configuration; `None` where none is published.
+    /// Fetches the manifest of the configuration; `None` if none is published.
     pub async fn manifest(&self) -> Result<Option<Manifest>, PlatformError> {
         let path = format!("/v1/values/{MANIFEST_KEY}");
         let Some(bytes) = self.get(&path).await? else {
@@ -123,14 +123,14 @@
         serde_json::from_slice(&bytes).map(Some).context(SyntaxSnafu { path })
     }
 
-    /// A part of the configuration, by its digest.
+    /// Fetches a part of the configuration by its digest.
     pub async fn part(&self, digest: &str) -> Result<Bytes, PlatformError> {
         let path = format!("/v1/values/{PART_PREFIX}{digest}");
         let found = self.get(&path).await?;
         found.context(StatusSnafu { path, status: StatusCode::NOT_FOUND })
     }
 
-    /// The list of hosts.
+    /// Fetches the list of hosts.
     pub async fn hosts(&self) -> Result<HostList, PlatformError> {
         let path = "/v1/hosts".to_owned();
         let bytes = self.get(&path).await?.unwrap_or_default();
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! A process's own settings, in JSON; checked as a whole, every error at once.
+//! Settings of a process, in JSON; validation reports all errors at once.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -8,121 +8,121 @@
 use serde_json::{Map, Value};
 use snafu::{ResultExt, Snafu};
 
-/// Longest settings file that is read, in bytes.
+/// Maximum size of a settings file in bytes.
 const MAX_SETTINGS_LEN: u64 = 1 << 20;
-/// Shortest key for signing tickets, and shortest administration token, in bytes.
+/// Minimum length of the ticket signing key and of the administration token, in bytes.
 const MIN_SECRET_LEN: usize = 16;
 
-/// What a process is.
+/// Role of a process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Role {
-    /// Takes callers' requests.
+    /// Accepts callers' requests.
     Gateway {
-        /// Where callers connect.
+        /// Address on which callers connect.
         callers: SocketAddr,
     },
-    /// Stands beside an endpoint.
+    /// Runs beside an endpoint.
     Agent {
-        /// The endpoint's name in the configuration.
+        /// Name of the endpoint in the configuration.
         endpoint: String,
-        /// Where the endpoint listens.
+        /// Address on which the endpoint listens.
         address: SocketAddr,
     },
 }
 
-/// Bounds on what others can make a process hold.
+/// Limits on the resources that peers and callers can occupy in a process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Bounds {
-    /// Requests in flight in a gateway, or attempts that wait in an agent.
+    /// Maximum number of requests in flight in a gateway, or of queued attempts in an agent.
     pub in_flight: usize,
-    /// Bytes of a caller's body.
+    /// Maximum size of a caller's request body in bytes.
     pub body_bytes: usize,
-    /// Bytes of one stage's result.
+    /// Maximum size of the result of one stage in bytes.
     pub result_bytes: usize,
-    /// Requests whose records are kept.
+    /// Maximum number of requests whose records are kept.
     pub records: usize,
-    /// How long a caller may take to send its body.
+    /// Timeout for receiving a caller's request body.
     pub body_timeout: Duration,
-    /// How long a planned stop waits for what is in flight.
+    /// Maximum time for which a planned stop waits for work in flight.
     pub drain_timeout: Duration,
 }
 
-/// One process's settings.
+/// Settings of one process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// What it is.
+    /// Role of the process.
     pub role: Role,
-    /// Its name, unique in the fleet.
+    /// Host name of the process, unique in the fleet.
     pub host: String,
-    /// Where it stands.
+    /// Data centre of the process.
     pub data_centre: String,
-    /// Where other processes connect.
+    /// Address on which other processes connect.
     pub internal: SocketAddr,
-    /// Where operators connect.
+    /// Address on which operators connect.
     pub admin: SocketAddr,
-    /// What operators must present.
+    /// Bearer token required from operators.
     pub admin_token: String,
-    /// The platform's configuration service.
+    /// Address of the platform's configuration service.
     pub platform: SocketAddr,
-    /// Processes to ask for the configuration first.
+    /// Addresses of the peers that are asked first for the configuration.
     pub peers: Vec<SocketAddr>,
-    /// Signs tickets; the same in the whole fleet.
+    /// Key that signs tickets; the same in the whole fleet.
     pub ticket_key: String,
-    /// Calls a second that the whole fleet makes to the platform.
+    /// Calls per second that the whole fleet makes to the platform.
     pub fleet_polls_per_second: u32,
-    /// Worker threads.
+    /// Number of worker threads.
     pub threads: usize,
-    /// Bounds.
+    /// Resource limits.
     pub bounds: Bounds,
 }
 
-/// One thing that is wrong with settings.
+/// An invalid value in the settings.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{path}: {found} is not allowed: {allowed}"))]
 pub struct Problem {
-    /// Where, such as `bounds.in_flight`.
+    /// Path of the field, such as `bounds.in_flight`.
     pub path: String,
-    /// What stands there.
+    /// The invalid value.
     pub found: String,
-    /// What may stand there.
+    /// The allowed values.
     pub allowed: String,
 }
 
-/// Why settings can't be used.
+/// Reason for which settings can't be used.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
-    /// The file can't be read.
+    /// The file could not be read.
     #[snafu(display("can't read {path}: {source}"))]
     Read {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Cause of the failure.
         source: std::io::Error,
     },
-    /// The file is larger than settings can be.
-    #[snafu(display("{path} has {len} bytes, settings have at most {MAX_SETTINGS_LEN}"))]
+    /// The file exceeds the maximum size.
+    #[snafu(display("{path}: {len} bytes exceed the maximum of {MAX_SETTINGS_LEN}"))]
     TooLarge {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Its bytes.
+        /// Size of the file in bytes.
         len: u64,
     },
-    /// The text is not JSON.
+    /// The text is not valid JSON.
     #[snafu(display("not JSON: {source}"))]
     Syntax {
-        /// Where and why.
+        /// Position and cause of the error.
         source: serde_json::Error,
     },
-    /// The text is JSON, with these things wrong.
+    /// The settings contain invalid values.
     #[snafu(display("{}", problems.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")))]
     Invalid {
-        /// Everything that is wrong.
+        /// All invalid values.
         problems: Vec<Problem>,
     },
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Loads and validates a settings file.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let shown = path.display().to_string();
         let len = std::fs::metadata(path).context(ReadSnafu { path: &shown })?.len();
@@ -133,7 +133,7 @@
         Self::parse(&text)
     }
 
-    /// Checks a text.
+    /// Parses and validates settings.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let value: Value = serde_json::from_str(text).context(SyntaxSnafu)?;
         let mut problems = Vec::new();
@@ -220,7 +220,7 @@
     text.len() >= MIN_SECRET_LEN
 }
 
-/// The fields of one JSON object that were not read yet.
+/// The fields of a JSON object that have not been read yet.
 struct Fields<'a> {
     prefix: &'static str,
     map: Map<String, Value>,
@@ -283,7 +283,7 @@
 
     fn refuse_the_rest(&mut self) {
         for (key, value) in std::mem::take(&mut self.map) {
-            self.problem::<()>(&key, value.to_string(), "no field of this name here");
+            self.problem::<()>(&key, value.to_string(), "no field has this name");
         }
     }
 }
--- a/src/story.rs
+++ b/src/story.rs
@@ -1,36 +1,37 @@
-//! Tells one request's story from log lines of many processes, in order of time.
+//! Merges the log lines of many processes that concern one request, ordered by time.
 
 use std::io::BufRead;
 
 use serde_json::{Map, Value};
 
-/// One line that concerns a request.
+/// A log line that concerns the request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Chapter {
-    /// Milliseconds since 1970, by the clock of the host that wrote it.
+    /// Milliseconds since the Unix epoch, by the clock of the host that wrote the line.
     pub at_unix_ms: u64,
-    /// Who wrote it.
+    /// Name of the host that wrote the line.
     pub host: String,
-    /// What happened.
+    /// Type of the log event.
     pub event: String,
-    /// What decided it, as `name=value`.
+    /// Other fields of the log event, as `name=value`.
     pub inputs: String,
 }
 
-/// What was found in the lines.
+/// The result of a search in log lines.
 #[derive(Debug, Default, PartialEq)]
 pub struct Story {
-    /// The lines that concern the request, in order of time.
+    /// The lines that concern the request, ordered by time.
     pub chapters: Vec<Chapter>,
-    /// Lines that are none of the log's.
+    /// Number of lines that are not log events.
     pub unread: usize,
 }
 
-/// Reads lines and keeps those that concern a request: its own, the calls that held its pieces, and
-/// their ends. Lines may stand behind a prefix, such as a time that a collector puts before them.
+/// Reads lines and keeps those that concern a request: its own log events, batch calls that held
+/// its pieces, and the ends of those calls. Text before the JSON object of a line, such as a
+/// collector's timestamp, is ignored.
 pub fn story(request: &str, lines: impl BufRead) -> std::io::Result<Story> {
     let mut story = Story::default();
-    // Calls with its pieces, by who sent them.
+    // Open calls with pieces of the request, by host and call number.
     let mut calls: Vec<(String, u64)> = Vec::new();
     for line in lines.lines() {
         let line = line?;
@@ -44,7 +45,7 @@
         if let Some(call) = call.filter(|_| holds_pieces) {
             calls.push((host.clone(), call));
         }
-        // A process that started anew counts its calls anew.
+        // A restarted process reuses call numbers, so a call that ended is removed.
         let ends_call = call.filter(|_| !holds_pieces).is_some_and(|call| {
             let known = calls.iter().position(|c| *c == (host.clone(), call));
             known.map(|index| calls.remove(index)).is_some() && note.get("pieces").is_none()
@@ -89,7 +90,7 @@
     }
 }
 
-/// How many pieces of a call are the request's.
+/// Returns the number of the request's pieces in a call and of all its pieces, as `own/all`.
 fn own_pieces(pieces: &Value, request: &str) -> String {
     let all = pieces.as_array().map_or(0, Vec::len);
     let own = pieces.as_array().into_iter().flatten();
--- a/src/tool.rs
+++ b/src/tool.rs
@@ -1,4 +1,5 @@
-//! The operators' tool: checks and compares configurations, tries requests, asks running processes.
+//! The operators' command line tool: checks and compares configurations, simulates requests,
+//! queries running processes.
 
 use std::fs::File;
 use std::io::{BufReader, Read};
@@ -37,120 +38,120 @@
 use crate::tables::{endpoints_table, explanation_text, requests_table, status_table};
 use crate::view::{Place, View};
 
-/// How long a process may take to answer.
+/// Timeout for the response of a process.
 const TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest answer that is read.
+/// Maximum length of a response in bytes.
 const MAX_ANSWER_LEN: usize = 64 << 20;
-/// Longest configuration file that is read.
+/// Maximum size of a configuration file in bytes.
 const MAX_CONFIG_LEN: u64 = 256 << 20;
 
 const USAGE: &str = "Usage: stackmast COMMAND [OPTIONS]
 
 On files:
-  check FILE              everything that is wrong with a configuration
-  diff BEFORE AFTER       what a configuration changes
+  check FILE              report all errors of a configuration
+  diff BEFORE AFTER       list the differences between two configurations
   parts FILE FOLDER       split a configuration into the platform's values
   story REQUEST [FILE ...]
-                          a request's story from log lines, of files or standard input
+                          log events of a request, from log files or standard input
   try FILE PIPELINE ORGANISATION [KEY=VALUE ...]
-                          where a request with these labels would go, and why
+                          explain where a request with these labels would be sent
 
 On a running process (--admin, --token):
-  status                  what it is and how it does
-  endpoints               what a gateway knows of the endpoints
-  requests                the newest ended requests
-  explain REQUEST         why a request went where it went, waited or was refused
-  audit                   the newest changes
+  status                  identity, state and load of the process
+  endpoints               endpoints and their load as seen by a gateway
+  requests                the requests that ended last
+  explain REQUEST         why a request was sent to an endpoint, queued or refused
+  audit                   the latest changes in the audit trail
   config                  the configuration in force
-  drain                   stop it without cutting anything off
+  drain                   stop the process after all work in flight has ended
 ";
 
-/// Why the tool failed.
+/// Reason for which the tool failed.
 #[derive(Debug, Snafu)]
 pub enum ToolError {
-    /// The command line can't be read.
+    /// The command line is invalid.
     #[snafu(display("{source}; see --help"))]
     Syntax {
-        /// Which option.
+        /// The invalid option.
         source: getopts::Fail,
     },
-    /// No such command, or a command without its operands.
-    #[snafu(display("no such command, or operands are missing; see --help"))]
+    /// The command is unknown or lacks operands.
+    #[snafu(display("unknown command or missing operands; see --help"))]
     Usage,
-    /// A file can't be read or written.
+    /// A file could not be read or written.
     #[snafu(display("{path}: {source}"))]
     File {
-        /// Which.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Cause of the failure.
         source: std::io::Error,
     },
-    /// No line concerns the request.
-    #[snafu(display("no line concerns {request}; {unread} lines could not be read"))]
+    /// No log line concerns the request.
+    #[snafu(display("no log line concerns {request}; {unread} lines are not log events"))]
     UnknownRequest {
-        /// The request.
+        /// Identifier of the request.
         request: String,
-        /// Lines that are none of the log's.
+        /// Number of lines that are not log events.
         unread: usize,
     },
-    /// A file is longer than any configuration.
-    #[snafu(display("{path}: {len} bytes are more than {MAX_CONFIG_LEN}"))]
+    /// A file exceeds the maximum size of a configuration.
+    #[snafu(display("{path}: {len} bytes exceed the maximum of {MAX_CONFIG_LEN}"))]
     FileTooLong {
-        /// Which.
+        /// Path of the file.
         path: String,
-        /// Its bytes.
+        /// Size of the file in bytes.
         len: u64,
     },
-    /// A file is not a configuration.
+    /// A file is not a valid configuration.
     #[snafu(display("{path}: {source}"))]
     Config {
-        /// Which.
+        /// Path of the file.
         path: String,
-        /// Where and why.
+        /// Position and cause of the error.
         source: serde_json::Error,
     },
-    /// A configuration must not be published.
+    /// A configuration has errors and must not be published.
     #[snafu(display("{}", findings.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")))]
     Findings {
-        /// Everything that is wrong.
+        /// All errors found.
         findings: Vec<Finding>,
     },
-    /// A configuration can't be split.
+    /// A configuration can't be split into parts.
     #[snafu(display("{source}"), context(false))]
     Parts {
-        /// Why.
+        /// Cause of the failure.
         source: PartsError,
     },
-    /// A label that is not KEY=VALUE.
+    /// A label is not of the form KEY=VALUE.
     #[snafu(display("{text:?} is not KEY=VALUE"))]
     Label {
-        /// The text.
+        /// The invalid label.
         text: String,
     },
     /// The pipeline or organisation is not in the configuration.
     #[snafu(display("{name:?} is not in the configuration"))]
     NotInConfig {
-        /// Its name.
+        /// Name of the pipeline or organisation.
         name: String,
     },
     /// The process can't be reached.
-    #[snafu(display("{address}: no answer"))]
+    #[snafu(display("{address}: no response"))]
     Unreachable {
-        /// Where.
+        /// Address of the process.
         address: String,
     },
-    /// The process refused.
+    /// The process refused the request.
     #[snafu(display("{status}: {detail}"))]
     Refused {
-        /// The status.
+        /// HTTP status of the response.
         status: StatusCode,
-        /// What it says.
+        /// Detail of the problem in the response.
         detail: String,
     },
-    /// The process answered with something else.
-    #[snafu(display("the answer can't be read: {source}"))]
+    /// The response of the process could not be read.
+    #[snafu(display("invalid response: {source}"))]
     Answer {
-        /// Where and why.
+        /// Position and cause of the error.
         source: serde_json::Error,
     },
 }
@@ -178,7 +179,7 @@
     }
 }
 
-/// Carries the command line out and returns the exit code.
+/// Executes the command line and returns the exit code.
 pub fn main(args: &[String]) -> u8 {
     match run(args) {
         Ok(text) => {
@@ -195,8 +196,8 @@
 fn run(args: &[String]) -> Result<String, ToolError> {
     let mut parser = Parser::new();
     parser.optopt("a", "admin", "administration address", "IP:PORT");
-    parser.optopt("t", "token", "bearer token; STACKMAST_TOKEN where it is not given", "TOKEN");
-    parser.optopt("n", "count", "entries to list", "N");
+    parser.optopt("t", "token", "bearer token; defaults to STACKMAST_TOKEN", "TOKEN");
+    parser.optopt("n", "count", "number of entries to list", "N");
     parser.optflag("j", "json", "print JSON");
     parser.optflag("h", "help", "print this help");
     parser.optflag("V", "version", "print the version");
@@ -247,7 +248,7 @@
     let mut lines: Box<dyn Read> = Box::new(std::io::empty());
     for path in files {
         let file = File::open(path).context(FileSnafu { path: *path })?;
-        // A file may end within a line.
+        // The last line of a file may lack its newline.
         lines = Box::new(lines.chain(file).chain(&b"\n"[..]));
     }
     if files.is_empty() {
@@ -325,7 +326,7 @@
     pairs.collect()
 }
 
-/// Decides a request as a gateway would that has seen no load yet.
+/// Schedules a request as a gateway would that has no load reports yet.
 fn try_request(
     file: &Path,
     pipeline: &str,
--- a/src/wire/convert.rs
+++ b/src/wire/convert.rs
@@ -10,19 +10,19 @@
     AgentReason, AttemptId, Claim, Incarnation, Load, Ran, Reply, Revocation, Run, RunId,
 };
 
-/// A message that can't be one of this protocol.
+/// A message that violates the protocol.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum BadMessage {
-    /// A field that every such message has is missing.
+    /// A required field is missing.
     #[snafu(display("the field {field} is missing"))]
     Missing {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
     },
-    /// A field that can't be read.
-    #[snafu(display("the field {field} can't be read"))]
+    /// A field has an invalid value.
+    #[snafu(display("field {field} is invalid"))]
     Unreadable {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
     },
 }
@@ -87,7 +87,7 @@
     }
 }
 
-/// The wire form of a [`Run`].
+/// Converts a [`Run`] to its wire form.
 pub fn run_to_wire(run: Run) -> v1::RunRequest {
     v1::RunRequest {
         protocol: PROTOCOL,
@@ -114,7 +114,7 @@
     }
 }
 
-/// Reads a [`Run`].
+/// Converts a [`Run`] from its wire form.
 pub fn run_from_wire(run: v1::RunRequest) -> Result<Run, BadMessage> {
     let attempt = run.attempt.context(MissingSnafu { field: "attempt" })?;
     Ok(Run {
@@ -142,7 +142,7 @@
     })
 }
 
-/// The wire form of a [`Reply`].
+/// Converts a [`Reply`] to its wire form.
 pub fn reply_to_wire(
     attempt: AttemptId,
     agent: Incarnation,
@@ -171,7 +171,7 @@
     }
 }
 
-/// Reads a [`Reply`].
+/// Converts a [`Reply`] from its wire form.
 pub fn reply_from_wire(reply: v1::stage_reply::Reply) -> Reply {
     use v1::stage_reply::Reply as Wire;
     match reply {
--- a/src/wire/generated.rs
+++ b/src/wire/generated.rs
@@ -122,7 +122,7 @@
     pub attempt: ::core::option::Option<AttemptId>,
     #[prost(fixed64, tag = "2")]
     pub agent: u64,
-    /// Nobody waits for the attempt: end it also where it has begun.
+    /// The result is no longer needed: abandon the attempt even if it has started.
     #[prost(bool, tag = "3")]
     pub cancel: bool,
 }
@@ -152,7 +152,7 @@
 }
 #[derive(Clone, Copy, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct OpenTicketReply {
-    /// 0 where the home is full.
+    /// 0 if the agent's maximum number of tickets is reached.
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
     #[prost(fixed64, tag = "2")]
@@ -169,7 +169,7 @@
 pub struct ReadTicketReply {
     #[prost(enumeration = "TicketState", tag = "1")]
     pub state: i32,
-    /// The answer, where it is done.
+    /// The answer, if the state is DONE.
     #[prost(bytes = "vec", tag = "2")]
     pub answer: ::prost::alloc::vec::Vec<u8>,
     #[prost(string, tag = "3")]
@@ -183,10 +183,10 @@
     pub home: u64,
     #[prost(message, optional, tag = "3")]
     pub run: ::core::option::Option<RunId>,
-    /// Whether the run may have begun; if not, another run may.
+    /// Whether the run may have started; if not, another run may be granted.
     #[prost(bool, tag = "4")]
     pub begun: bool,
-    /// The whole answer, where there is one.
+    /// The complete answer, if there is one.
     #[prost(bytes = "vec", optional, tag = "5")]
     pub answer: ::core::option::Option<::prost::alloc::vec::Vec<u8>>,
     #[prost(string, tag = "6")]
@@ -210,7 +210,7 @@
     pub protocol: u32,
     #[prost(message, repeated, tag = "2")]
     pub documents: ::prost::alloc::vec::Vec<DocumentVersion>,
-    /// Where the sender answers.
+    /// Address on which the sender accepts connections of peers.
     #[prost(string, tag = "3")]
     pub address: ::prost::alloc::string::String,
 }
@@ -226,7 +226,7 @@
 }
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct ManifestReply {
-    /// JSON, as at the platform; empty where none is in force.
+    /// JSON, as published by the platform; empty if none is in force.
     #[prost(bytes = "vec", tag = "1")]
     pub manifest: ::prost::alloc::vec::Vec<u8>,
 }
@@ -251,7 +251,7 @@
 }
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct ExplainReply {
-    /// JSON; empty where the request is no longer known.
+    /// JSON; empty if the request is no longer known.
     #[prost(bytes = "vec", tag = "1")]
     pub explanation: ::prost::alloc::vec::Vec<u8>,
 }
@@ -398,7 +398,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, ::prost::Enumeration)]
 #[repr(i32)]
 pub enum TicketState {
-    /// Not this home's, expired, or forgotten.
+    /// Not issued by this agent, expired, or no longer known.
     Void = 0,
     Free = 1,
     Begun = 2,
@@ -439,7 +439,7 @@
     )]
     use tonic::codegen::*;
     use tonic::codegen::http::Uri;
-    /// Beside each endpoint.
+    /// Service of the agent beside each endpoint.
     #[derive(Debug, Clone)]
     pub struct AgentClient<T> {
         inner: tonic::client::Grpc<T>,
@@ -520,7 +520,7 @@
             self.inner = self.inner.max_encoding_message_size(limit);
             self
         }
-        /// Runs a stage, or goes on sending what an attempt gave.
+        /// Runs a stage, or resumes sending the result of an attempt.
         pub async fn run(
             &mut self,
             request: impl tonic::IntoRequest<super::RunRequest>,
@@ -542,7 +542,7 @@
             req.extensions_mut().insert(GrpcMethod::new("stackmast.v1.Agent", "Run"));
             self.inner.server_streaming(req, path, codec).await
         }
-        /// Takes an attempt back.
+        /// Revokes an attempt.
         pub async fn revoke(
             &mut self,
             request: impl tonic::IntoRequest<super::RevokeRequest>,
@@ -563,7 +563,7 @@
             req.extensions_mut().insert(GrpcMethod::new("stackmast.v1.Agent", "Revoke"));
             self.inner.unary(req, path, codec).await
         }
-        /// Grants one run of a request under a ticket, once.
+        /// Grants a ticket to one run of a request; other runs are refused.
         pub async fn claim(
             &mut self,
             request: impl tonic::IntoRequest<super::ClaimRequest>,
@@ -582,7 +582,7 @@
             req.extensions_mut().insert(GrpcMethod::new("stackmast.v1.Agent", "Claim"));
             self.inner.unary(req, path, codec).await
         }
-        /// Opens a ticket at this home.
+        /// Opens a ticket issued by this agent.
         pub async fn open_ticket(
             &mut self,
             request: impl tonic::IntoRequest<super::OpenTicketRequest>,
@@ -607,7 +607,7 @@
                 .insert(GrpcMethod::new("stackmast.v1.Agent", "OpenTicket"));
             self.inner.unary(req, path, codec).await
         }
-        /// Tells what became of a request under a ticket, and its answer where it has one.
+        /// Returns the state of a ticket and, if available, the answer to its request.
         pub async fn read_ticket(
             &mut self,
             request: impl tonic::IntoRequest<super::ReadTicketRequest>,
@@ -632,7 +632,7 @@
                 .insert(GrpcMethod::new("stackmast.v1.Agent", "ReadTicket"));
             self.inner.unary(req, path, codec).await
         }
-        /// Tells the home how a run of a request under a ticket ended.
+        /// Reports to the issuing agent how a run of a request with a ticket ended.
         pub async fn finish_ticket(
             &mut self,
             request: impl tonic::IntoRequest<super::FinishTicketRequest>,
@@ -678,32 +678,32 @@
             >
             + std::marker::Send
             + 'static;
-        /// Runs a stage, or goes on sending what an attempt gave.
+        /// Runs a stage, or resumes sending the result of an attempt.
         async fn run(
             &self,
             request: tonic::Request<super::RunRequest>,
         ) -> std::result::Result<tonic::Response<Self::RunStream>, tonic::Status>;
-        /// Takes an attempt back.
+        /// Revokes an attempt.
         async fn revoke(
             &self,
             request: tonic::Request<super::RevokeRequest>,
         ) -> std::result::Result<tonic::Response<super::RevokeReply>, tonic::Status>;
-        /// Grants one run of a request under a ticket, once.
+        /// Grants a ticket to one run of a request; other runs are refused.
         async fn claim(
             &self,
             request: tonic::Request<super::ClaimRequest>,
         ) -> std::result::Result<tonic::Response<super::ClaimReply>, tonic::Status>;
-        /// Opens a ticket at this home.
+        /// Opens a ticket issued by this agent.
         async fn open_ticket(
             &self,
             request: tonic::Request<super::OpenTicketRequest>,
         ) -> std::result::Result<tonic::Response<super::OpenTicketReply>, tonic::Status>;
-        /// Tells what became of a request under a ticket, and its answer where it has one.
+        /// Returns the state of a ticket and, if available, the answer to its request.
         async fn read_ticket(
             &self,
             request: tonic::Request<super::ReadTicketRequest>,
         ) -> std::result::Result<tonic::Response<super::ReadTicketReply>, tonic::Status>;
-        /// Tells the home how a run of a request under a ticket ended.
+        /// Reports to the issuing agent how a run of a request with a ticket ended.
         async fn finish_ticket(
             &self,
             request: tonic::Request<super::FinishTicketRequest>,
@@ -712,7 +712,7 @@
             tonic::Status,
         >;
     }
-    /// Beside each endpoint.
+    /// Service of the agent beside each endpoint.
     #[derive(Debug)]
     pub struct AgentServer<T> {
         inner: Arc<T>,
@@ -1103,7 +1103,7 @@
     )]
     use tonic::codegen::*;
     use tonic::codegen::http::Uri;
-    /// In every process.
+    /// Service of every process.
     #[derive(Debug, Clone)]
     pub struct PeerClient<T> {
         inner: tonic::client::Grpc<T>,
@@ -1184,7 +1184,7 @@
             self.inner = self.inner.max_encoding_message_size(limit);
             self
         }
-        /// Compares the versions of documents.
+        /// Exchanges the versions of documents.
         pub async fn exchange(
             &mut self,
             request: impl tonic::IntoRequest<super::ExchangeRequest>,
@@ -1206,7 +1206,7 @@
                 .insert(GrpcMethod::new("stackmast.v1.Peer", "Exchange"));
             self.inner.unary(req, path, codec).await
         }
-        /// Gives the manifest in force.
+        /// Returns the manifest of the document in force.
         pub async fn manifest(
             &mut self,
             request: impl tonic::IntoRequest<super::ManifestRequest>,
@@ -1228,7 +1228,7 @@
                 .insert(GrpcMethod::new("stackmast.v1.Peer", "Manifest"));
             self.inner.unary(req, path, codec).await
         }
-        /// Gives parts by digest.
+        /// Returns parts by digest.
         pub async fn parts(
             &mut self,
             request: impl tonic::IntoRequest<super::PartsRequest>,
@@ -1250,7 +1250,7 @@
             req.extensions_mut().insert(GrpcMethod::new("stackmast.v1.Peer", "Parts"));
             self.inner.server_streaming(req, path, codec).await
         }
-        /// Explains a request of this gateway.
+        /// Returns the explanation of a request of this gateway.
         pub async fn explain(
             &mut self,
             request: impl tonic::IntoRequest<super::ExplainRequest>,
@@ -1286,12 +1286,12 @@
     /// Generated trait containing gRPC methods that should be implemented for use with PeerServer.
     #[async_trait]
     pub trait Peer: std::marker::Send + std::marker::Sync + 'static {
-        /// Compares the versions of documents.
+        /// Exchanges the versions of documents.
         async fn exchange(
             &self,
             request: tonic::Request<super::ExchangeRequest>,
         ) -> std::result::Result<tonic::Response<super::ExchangeReply>, tonic::Status>;
-        /// Gives the manifest in force.
+        /// Returns the manifest of the document in force.
         async fn manifest(
             &self,
             request: tonic::Request<super::ManifestRequest>,
@@ -1302,18 +1302,18 @@
             >
             + std::marker::Send
             + 'static;
-        /// Gives parts by digest.
+        /// Returns parts by digest.
         async fn parts(
             &self,
             request: tonic::Request<super::PartsRequest>,
         ) -> std::result::Result<tonic::Response<Self::PartsStream>, tonic::Status>;
-        /// Explains a request of this gateway.
+        /// Returns the explanation of a request of this gateway.
         async fn explain(
             &self,
             request: tonic::Request<super::ExplainRequest>,
         ) -> std::result::Result<tonic::Response<super::ExplainReply>, tonic::Status>;
     }
-    /// In every process.
+    /// Service of every process.
     #[derive(Debug)]
     pub struct PeerServer<T> {
         inner: Arc<T>,
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,8 +1,9 @@
-//! The protocol between the processes: generated messages, and their conversion to the typed ones.
+//! The protocol between processes: generated messages and conversions from and to the typed
+//! messages.
 
 mod convert;
 
-/// What `stackmast.proto` gives; see `tests/generated.rs`.
+/// Code generated from `stackmast.proto`; see `tests/generated.rs`.
 #[allow(missing_docs, clippy::all, clippy::pedantic)]
 #[rustfmt::skip]
 #[path = "generated.rs"]
@@ -10,7 +11,7 @@
 
 pub use convert::{BadMessage, reply_from_wire, reply_to_wire, run_from_wire, run_to_wire};
 
-/// The version of the protocol; a process refuses another one's messages before anything runs.
+/// Protocol version; a process refuses messages of any other version before anything runs.
 pub const PROTOCOL: u32 = 1;
-/// Bytes of one message at most.
+/// Maximum size of a message in bytes.
 pub const MAX_MESSAGE_LEN: usize = 8 << 20;
