--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configurations are checked as a whole, split into parts, put together and compared.
+//! Configurations are checked completely, split into parts, joined and compared.
 
 use bytes::Bytes;
 use proptest::prelude::*;
--- a/tests/direct_backoff.rs
+++ b/tests/direct_backoff.rs
@@ -1,5 +1,5 @@
-//! Endpoints that turn something away and want nothing from this gateway for a while: nothing goes there for so long,
-//! and by degrees after it.
+//! Endpoints that refuse a request and ask for a pause: they get no messages during the pause, and
+//! load that grows by steps after it.
 
 mod directenv;
 
@@ -77,7 +77,7 @@
     let mut core = configured(routes());
     let statement = pause_for(ms(2 * SECONDS));
     let (endpoint, asked) = (engine(1), CallKind::Request);
-    // The core was late by a second.
+    // The core handles the event a second after the answer was read.
     let event = Event::EndpointStatus { endpoint, asked, statement, sent: ms(90), at: ms(100) };
     core.handle(event, ms(1_100));
     assert!(!gets_any(&mut core, "engine-1", 100, 2_099));
@@ -102,7 +102,7 @@
 #[test]
 fn when_pauses_end_endpoints_are_filled_by_degrees() {
     let mut core = configured(routes());
-    // Both turned something away, after they had served something; they turn away no more.
+    // Both endpoints announce a pause with a successful answer, and refuse nothing later.
     for caller in 1..=2 {
         let actions = submit(&mut core, caller, incoming("r", Vec::new()), ms(0));
         let (attempt, params) = calls(&actions)[0].clone();
--- a/tests/direct_bulk.rs
+++ b/tests/direct_bulk.rs
@@ -1,4 +1,5 @@
-//! Configurations between gateways over real connections: whole, refused, stalled, replaced.
+//! Configuration transfers between gateways over real connections: complete, refused, stalled and
+//! replaced.
 
 mod directenv;
 
@@ -15,7 +16,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep, timeout};
 
-/// A gateway that takes connections, and where.
+/// A gateway that accepts connections, and its address.
 async fn gateway() -> (Handle<GatewayCore>, SocketAddr) {
     let listener = TcpListener::bind(address(0)).await.expect("a port");
     let at = listener.local_addr().expect("its address");
@@ -26,7 +27,7 @@
     (core, at)
 }
 
-/// What sends to other gateways.
+/// The connections of a sending gateway.
 fn sender() -> PeerLinks {
     let (core, waiting) = mailbox();
     tokio::spawn(run(new_core(), Idle, waiting));
@@ -62,7 +63,7 @@
     String::from_utf8(frame).expect("text")
 }
 
-/// A connection to a gateway, on which a hello was sent.
+/// Connects to a gateway and sends a greeting.
 async fn hello(to: SocketAddr, bulk: bool) -> TcpStream {
     let mut stream = TcpStream::connect(to).await.expect("a connection");
     let hello = format!(r#"{{"address":"127.0.0.1:9","incarnation":1,"bulk":{bulk}}}"#);
@@ -70,7 +71,7 @@
     stream
 }
 
-/// How long it takes until the other end closes a connection; `None` if longer than `within`.
+/// Time until the other end closes a connection; `None` if longer than `within`.
 async fn closed(stream: &mut TcpStream, within: Duration) -> Option<Duration> {
     let begun = Instant::now();
     let mut rest = Vec::new();
--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -1,5 +1,5 @@
-//! Cells: which data centres have an owner of their own, who that is, and where a job goes that its cell
-//! refuses.
+//! Cells: which data centres have an owner of their own, which gateway is the owner, and where a
+//! job is submitted after its cell has refused it.
 
 mod directenv;
 
@@ -23,7 +23,7 @@
 
 const POOLS: [&str; 3] = ["first", "second", "third"];
 
-/// So many endpoints of each pool in each of some data centres.
+/// Endpoints in one data centre per element of `counts`, which is their number in each pool.
 fn fleet(counts: &[usize]) -> Vec<Arc<Endpoint>> {
     let mut number = 0;
     let mut endpoints = Vec::new();
@@ -168,7 +168,7 @@
     assert_eq!(owners.jobs(), 0);
 }
 
-/// A gateway before three cells, all owned by others.
+/// A gateway in a fleet of three cells that are all owned by other gateways.
 fn before_cells() -> GatewayCore {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10), ("second", &[0], 10)]);
     let mut core = configured(vec![route]);
--- a/tests/direct_codec.rs
+++ b/tests/direct_codec.rs
@@ -1,4 +1,5 @@
-//! How messages between gateways are written: compactly to those that read it, as JSON to all others.
+//! Encoding of messages between gateways: compact for peers that read this form, JSON for all
+//! others.
 
 mod directenv;
 
@@ -8,7 +9,7 @@
 use stackmast::direct::peers::message::PeerMessage;
 use stackmast::direct::published::model::Repeat;
 
-/// A message as a peer that reads this build's form gets it, and as any other does.
+/// Encodes a message for a peer that reads this build's form, and for any other peer.
 fn both_forms(message: &PeerMessage) -> [bytes::Bytes; 2] {
     let outgoing = Outgoing::new(message.clone());
     [Some(FORM), None].map(|form| outgoing.encode_for(form))
@@ -64,7 +65,7 @@
 #[test]
 fn a_form_that_is_not_known_is_not_guessed_at() {
     let [compact, _] = both_forms(&heartbeat(3));
-    // The same bytes, said to be of a later form, or said by a greeting to be of an earlier one.
+    // The same bytes marked as a later form, or unmarked after a greeting of an earlier one.
     let mut later = compact.to_vec();
     later[1] = 9;
     assert_eq!(read(&later, FORM), Err(Unreadable::Form(9)));
--- a/tests/direct_cold.rs
+++ b/tests/direct_cold.rs
@@ -1,7 +1,9 @@
-//! Endpoints that are cold bear little: each gateway sends its part of it, and what is left is told a time.
+//! Cold endpoints handle few requests: each gateway sends its share of them, and callers that are
+//! refused get a time to retry.
 //!
-//! The load: a data centre's endpoints come back together, cold, while callers press. The figures are those of
-//! endpoints that bear 10 requests a second for 3 s and fall over at 20.
+//! These tests guard against overload when all endpoints of a data centre come up cold together
+//! under steady load. The figures are those of endpoints that handle 10 requests per second for 3 s
+//! and fail at 20.
 
 mod directenv;
 
@@ -33,7 +35,8 @@
     Arc::new(Endpoint { cold_for, incarnation, ..(*endpoint("engine", number)).clone() })
 }
 
-/// When gateways that press without pause, and learn of a cold endpoint within `spread_ms`, send to it.
+/// Times at which gateways under steady load send to a cold endpoint, of which they learn within
+/// `spread_ms`.
 fn sent(gateways: u16, spread_ms: u64) -> Vec<Duration> {
     let (table, endpoint) = (table(), cold(1, 3_000));
     let mut sent = Vec::new();
@@ -70,7 +73,7 @@
     }
 }
 
-// The load: an order to evacuate is taken back while the endpoints there are cold.
+// Guards against a burst when an evacuation order is withdrawn while the endpoints there are cold.
 #[test_case(1)]
 #[test_case(21)]
 #[test_case(103)]
@@ -91,7 +94,7 @@
 fn a_gateway_that_has_just_started_sends_nothing_to_what_is_cold() {
     let (table, endpoint) = (table(), cold(1, 3_000));
     let mut known = ColdEndpoints::new(address(1));
-    // The entry may come before the configuration.
+    // The entry may arrive before the configuration.
     known.apply_changes(&Table::default(), std::slice::from_ref(&endpoint), ms(10));
     known.apply_changes(&table, &[], ms(20));
     assert!(known.available_at(&endpoint, Some(BEARS), 1, ms(1_500)).is_some());
@@ -101,7 +104,7 @@
     );
 }
 
-/// A gateway of 21 whose engines are as given, long after its start.
+/// A gateway in a fleet of 21 with the given engines, long after its start.
 fn core(engines: &[Arc<Endpoint>]) -> GatewayCore {
     let mut deployment = deployment(1, vec![route("r", Repeat::Idempotent, &[])]);
     for pool in deployment.pools.iter_mut().filter(|p| &*p.name == "engine") {
@@ -119,7 +122,7 @@
     core
 }
 
-/// Where a request is sent, which is answered at once.
+/// The endpoint to which a request is sent; the request is answered at once.
 fn sent_to(core: &mut GatewayCore, caller: u64, at: u64) -> Option<String> {
     let actions = submit(core, caller, incoming("r", Vec::new()), ms(at));
     let (attempt, order) = calls(&actions).into_iter().next()?;
--- a/tests/direct_come_back.rs
+++ b/tests/direct_come_back.rs
@@ -1,4 +1,4 @@
-//! When callers should come back who are refused because the process stops.
+//! Retry times of requests that are refused because the process stops.
 
 mod directenv;
 
@@ -11,21 +11,21 @@
 use stackmast::direct::stop::{MIN_DURATION, Stop, retry_after};
 use test_case::test_case;
 
-/// When the signal of these tests comes, and how long after it the process is killed.
+/// Time of the stop signal in these tests; the process is killed `GRACE` after it.
 const SIGNAL: Duration = Duration::from_secs(20);
 const GRACE: Duration = Duration::from_secs(8);
-/// From the end of a process until it serves again.
+/// Time from the end of a process until its successor serves.
 const RESTART: Duration = Duration::from_millis(1_200);
-/// The least that callers wait.
+/// Shortest retry time.
 const LEAST: Duration = Duration::from_millis(100);
 
-/// What is known of another gateway, and since when from the signal on, in milliseconds.
+/// State of another gateway, with the time of its last change in milliseconds after the signal.
 #[derive(Debug, Clone, Copy)]
 enum Other {
     Serving(i64),
     Starting(i64),
     Leaving(i64),
-    /// It served and is gone.
+    /// The gateway served and is down.
     Dead(i64),
 }
 
@@ -72,7 +72,7 @@
     assert_eq!(come_back(others, now), ms(expected));
 }
 
-// A host that was lost long before the stop is no sign that anybody serves at once.
+// A host that failed long before the stop doesn't show that a gateway serves again soon.
 #[test_case(10_000; "ten seconds ago")]
 #[test_case(50_000; "fifty seconds ago")]
 fn a_gateway_that_is_long_dead_is_not_expected_back_at_once(ago: i64) {
--- a/tests/direct_departures.rs
+++ b/tests/direct_departures.rs
@@ -1,5 +1,5 @@
-//! Endpoints that say in answers that they leave: who hears it, how long it holds, what takes it back, and what a restart, a
-//! standstill or another gateway does to it.
+//! Endpoints that announce their departure in responses: how the news spreads, how long it is
+//! valid, what ends it, and the effect of a restart, of a suspension and of other gateways.
 
 mod directenv;
 
@@ -51,7 +51,7 @@
 fn nothing_that_the_list_says_of_the_same_life_takes_it_back() {
     let mut core = configured(routes());
     says(&mut core, &engine(1), LEAVES, 10);
-    // An entry that was written late, or by a store that had lost an answer.
+    // An entry that was written late, or by a store that had lost a response.
     let mut changed = (*engine(1)).clone();
     changed.slots += 1;
     enter(&mut core, &Arc::new(changed), 50, 20);
@@ -92,7 +92,7 @@
     assert!(!gets_any(&mut core, "engine-1", 100, 20));
     enter(&mut core, &living("engine", 1, 9), 51, 30);
     assert!(gets_any(&mut core, "engine-1", 200, 40));
-    // A late answer of the life before says nothing of this one.
+    // A late answer of the previous incarnation doesn't apply to the current one.
     says(&mut core, &living("engine", 1, 7), LEAVES, 50);
     assert!(gets_any(&mut core, "engine-1", 300, 60));
     says(&mut core, &living("engine", 1, 9), LEAVES, 70);
@@ -180,7 +180,8 @@
         ..AnswerProof::default()
     };
     core.handle(Event::Answered { caller: 1, attempt, proof, is_open: false }, ms(5));
-    // It is avoided for a moment as at any wrong address, and not for being full.
+    // The endpoint is avoided for a moment, as after any wrong address, and not because of its
+    // reported load.
     assert!(gets_any(&mut core, &order.endpoint.id, 100, 600));
 }
 
--- a/tests/direct_eras.rs
+++ b/tests/direct_eras.rs
@@ -1,5 +1,5 @@
-//! A store that comes back from an older copy, in a new era: what is believed, how it spreads, and what a peer of
-//! an older build makes of it.
+//! A store that is restored from an older copy and continues in a new era: which entries are valid,
+//! how the era spreads, and how a peer of an older build handles it.
 
 mod directenv;
 
@@ -20,7 +20,7 @@
 use stackmast::direct::published::position::{Eras, Position};
 use test_case::test_case;
 
-/// The eras before and after.
+/// The eras before and after the restore.
 const BEFORE: u64 = 4;
 const AFTER: u64 = 5;
 
@@ -36,7 +36,7 @@
     Revised { position, created_revision, document: Document::Endpoint(endpoint) }
 }
 
-/// The first endpoint in a life.
+/// The first endpoint, in the given incarnation.
 fn living(incarnation: u64, leaving: bool) -> Arc<Endpoint> {
     Arc::new(Endpoint { incarnation, leaving, ..(*endpoint("engine", 1)).clone() })
 }
@@ -45,7 +45,7 @@
     Revised { position, created_revision: 0, document: Document::Removed("engine-1".into()) }
 }
 
-/// A list that stood before: the first endpoint, created at 10 and changed at 80.
+/// A list of the earlier era: the first endpoint, created at revision 10 and changed at 80.
 fn listed(incarnation: u64, leaving: bool) -> Documents {
     let mut documents = Documents::default();
     let entry = entry(living(incarnation, leaving), before(80), 10);
@@ -72,7 +72,7 @@
     assert_eq!(eras.newest(), 6);
 }
 
-// Builds without eras send bare revisions.
+// Builds without eras send revisions without an era.
 #[test]
 fn bare_revisions_are_of_the_only_era_and_older_than_all_after_it() {
     let mut eras = Eras::default();
@@ -194,7 +194,7 @@
     assert_eq!(documents.seen().endpoints, Position::new(AFTER + 1, 12));
 }
 
-/// Publishes a version and the usual endpoints at positions of an era.
+/// Publishes a version and the default endpoints at the given position.
 fn publish(core: &mut GatewayCore, version: u64, at: Position, now: u64) -> Vec<Action> {
     let routes = vec![route("r", Repeat::Idempotent, &[])];
     let configured = Document::Deployment(Arc::new(deployment(version, routes)));
@@ -301,7 +301,7 @@
     let all = endpoints().len();
     assert_eq!(given(core.handle(pull(before(900)), ms(1))), Some((all, AFTER)));
     assert_eq!(given(core.handle(pull(after(40)), ms(2))), Some((0, AFTER)));
-    // A bare revision belongs to the only known era.
+    // A revision without an era belongs to the only known era.
     assert_eq!(given(core.handle(pull(Position::new(0, 40)), ms(3))), Some((0, AFTER)));
 }
 
@@ -333,7 +333,7 @@
     EvacuationChange { data_centre: "hall-0".into(), position, in_force }
 }
 
-/// Whether an endpoint of the first data centre takes no new work.
+/// Whether the endpoint of the first data centre gets no new work.
 fn is_evacuated(core: &GatewayCore) -> bool {
     core.table().endpoint("engine-2").expect("listed").leaving
 }
@@ -360,7 +360,7 @@
     let copied = if stood { Vec::new() } else { vec![order(after(35), true)] };
     evacuations(&mut core, copied.clone(), Some(after(40)), 500);
     assert_eq!(is_evacuated(&core), stood);
-    // Read once more, it is still the copy's.
+    // Reading the restored copy once more doesn't confirm the order.
     evacuations(&mut core, copied, Some(after(44)), 900);
     core.handle(Event::Tick, ms(3_400));
     assert_eq!(is_evacuated(&core), stood);
@@ -385,7 +385,7 @@
     assert!(!is_evacuated(&core));
 }
 
-/// An account of a build that knows no eras.
+/// Evacuations as sent by a build without eras.
 fn without_era(revision: u64, stands: bool) -> Evacuations {
     let change = order(Position::new(0, revision), stands);
     Evacuations::from_read(&[change], Position::new(0, revision))
@@ -408,7 +408,7 @@
     assert!(!is_evacuated(&core), "it may be of before");
 }
 
-/// A gateway that starts beside a peer with a later version than the store has.
+/// A gateway that starts next to a peer with a later version than the store's.
 fn starts_beside(version: u64) -> GatewayCore {
     let mut core = GatewayCore::new(Setup { settling: ms(0), ..setup() });
     let seen = Seen { version, endpoints: after(40) };
@@ -444,7 +444,7 @@
     assert_eq!(ready_at, Some(1_510));
 }
 
-/// A gateway with two seeds that has read everything.
+/// A gateway with two seeds that has read the complete store.
 fn starts_with_seeds() -> GatewayCore {
     let seeds = vec![address(1), address(2), address(3)];
     let mut core = GatewayCore::new(Setup { seeds, ..setup() });
--- a/tests/direct_evacuations.rs
+++ b/tests/direct_evacuations.rs
@@ -1,4 +1,4 @@
-//! Orders to evacuate data centres: from any source in any order, in force at once, never forgotten.
+//! Evacuation orders: from any source in any order, in force at once, never forgotten.
 
 mod directenv;
 
@@ -27,14 +27,14 @@
     core.handle(Event::Evacuations { changes: vec![change], snapshot_at: None }, now)
 }
 
-/// What a peer knows.
+/// Handles a heartbeat of a peer with its known evacuations.
 fn told(core: &mut GatewayCore, known: &Evacuations, now: Duration) -> Vec<Action> {
     let (members, evacuations) = (vec![serving(2)], known.clone());
     let message = Says { members, complete: true, evacuations, ..Says::default() }.message();
     core.handle(Event::PeerMessage { from: address(2), message }, now)
 }
 
-/// The data centres that requests are sent to.
+/// The data centres to which requests are sent.
 fn reached(core: &mut GatewayCore, first: u64, now: Duration) -> Vec<String> {
     let mut reached = Vec::new();
     for caller in first..first + 8 {
@@ -76,7 +76,7 @@
     told(&mut core, &known, ms(1));
     publish(&mut core, deployment(1, vec![route("r", Repeat::Idempotent, &[])]), ms(2));
     assert_eq!(reached(&mut core, 1, ms(3)), ["hall-1"]);
-    // It is entered anew, and the configuration changes: the order stands.
+    // The endpoint is listed again and the configuration changes; the order stays in force.
     let entered = Arc::new(Endpoint { slots: 7, ..(*endpoint("engine", 2)).clone() });
     core.handle(Event::Published { documents: listed(&[entered], 9), snapshot_at: None }, ms(4));
     publish(&mut core, deployment(2, vec![route("r", Repeat::Idempotent, &[])]), ms(5));
@@ -156,14 +156,15 @@
     assert_eq!(told, 36, "each that is not taken leaves a line");
 }
 
-/// What happens to three data centres, one revision each.
+/// Changes of the orders for three data centres, one revision each.
 fn history() -> impl Strategy<Value = Vec<(usize, bool)>> {
     prop::collection::vec((0usize..3, any::<bool>()), 1..12)
 }
 
 proptest! {
-    // Processes hear some changes, read all at some revisions, and tell each other in any order: who has read
-    // all at the end has the truth, and it is the same for all that it was told to.
+    // Processes receive some changes, read the complete state at some revisions, and send each
+    // other their states in any order. A process that has read the complete state at the end has
+    // the correct orders, and so has every process that it sends them to.
     #[test]
     fn accounts_merge_to_the_truth(
         history in history(),
--- a/tests/direct_experience.rs
+++ b/tests/direct_experience.rs
@@ -1,4 +1,4 @@
-//! What requests took, and what may be expected of the next one.
+//! Durations of past requests, and the durations expected for new ones.
 
 use std::time::Duration;
 
@@ -16,7 +16,8 @@
     "r".into()
 }
 
-/// Twenty requests of size 100 that took 1 s, one of them 3 s; twenty of size 1,000 that took 5 s.
+/// Twenty requests of size 100 that took 1 s, except one of 3 s, and twenty of size 1,000 that took
+/// 5 s.
 fn experience() -> DurationHistory {
     let mut experience = DurationHistory::default();
     for number in 0..20 {
@@ -43,7 +44,8 @@
     assert_eq!(experience().expected(&route(), Span::Run, size, sure), Some(ms(expected)));
 }
 
-// A cold review of issue 18's mend: much smaller ones, or a single one, were taken for all experience.
+// Regression test (issue 18): much smaller requests, or a single one, counted as evidence for every
+// size.
 #[test_case(100_000; "much larger than any that was seen")]
 #[test_case(1; "much smaller")]
 fn nothing_is_sure_of_a_size_that_was_not_seen(size: u64) {
--- a/tests/direct_gates.rs
+++ b/tests/direct_gates.rs
@@ -1,4 +1,4 @@
-//! Messages to endpoints that were ordered before it was known that the endpoint wants none.
+//! Messages to endpoints that were ordered before a status of the endpoint excluded them.
 
 mod directenv;
 
@@ -63,7 +63,8 @@
     assert_eq!(open(&gates, &second, 1), ALL);
 }
 
-/// An endpoint of which the first message hangs before it can go out, and which says something in every answer.
+/// An endpoint whose first message is held back before it is sent, and which sends a status in
+/// every answer.
 struct Said {
     statement: Statement,
     held: Arc<Semaphore>,
@@ -116,8 +117,8 @@
     async fn free(&self, _: Arc<Endpoint>, _handles: Vec<Handle>, _exchange: impl Exchange) {}
 }
 
-// The load: a request waits for its connection to come up while another one is answered, and the answer says that the
-// endpoint leaves, or wants nothing.
+// A request waits for its connection while another one is answered, and the answer announces that
+// the endpoint leaves or pauses.
 #[test_case(Statement { leaving: true, ..Statement::default() }; "leaving")]
 #[test_case(Statement { backoff: Some(Backoff::Unclear), ..Statement::default() }; "pause")]
 #[tokio::test]
--- a/tests/direct_homes.rs
+++ b/tests/direct_homes.rs
@@ -1,4 +1,5 @@
-//! Requests whose route or organisation has homes: neither they nor pieces of their stages leave these regions.
+//! Requests whose route or organisation has allowed regions: neither the requests nor the pieces of
+//! their stages run elsewhere.
 
 mod directenv;
 
@@ -14,7 +15,7 @@
 use stackmast::direct::published::regions::REGION_LABEL;
 use test_case::test_case;
 
-/// The endpoints of hall-0 stand in the east, those of hall-1 in the west.
+/// The endpoints of hall-0 are in the region "east", those of hall-1 in the region "west".
 fn placed() -> Vec<Arc<Endpoint>> {
     let place = |endpoint: Arc<Endpoint>| {
         let mut endpoint = (*endpoint).clone();
--- a/tests/direct_late.rs
+++ b/tests/direct_late.rs
@@ -1,4 +1,5 @@
-//! A gateway whose events are handled late, and one whose owner is: who is held, refused or waited for.
+//! A gateway with event lag, or whose owner has event lag: which requests it holds, refuses or
+//! resubmits.
 
 mod directenv;
 
@@ -22,7 +23,7 @@
     route("staged", Repeat::AtMostOnce, &[("first", &[], 10)])
 }
 
-/// Events wait for the core for so long, one after the other.
+/// Reports that 30 events in a row waited `waited` for the core.
 fn wait(core: &mut GatewayCore, waited: Duration, now: Duration) {
     for _ in 0..30 {
         core.on_queue_delay(waited, now);
@@ -86,7 +87,7 @@
     assert_eq!(all, [true, false]);
 }
 
-/// A gateway whose stages another one owns.
+/// A gateway whose stages are owned by another gateway.
 fn with_owner() -> GatewayCore {
     let mut core = configured(vec![staged()]);
     let strong = stackmast::direct::peers::members::Member { capacity: 9_000, ..serving(5) };
@@ -94,7 +95,7 @@
     core
 }
 
-/// When the stages are submitted to a second owner, after so many milliseconds.
+/// Time in milliseconds after which the stages are submitted to a second owner.
 fn resubmitted_after(core: &mut GatewayCore, event_lag: Duration) -> Option<u64> {
     let strong = stackmast::direct::peers::members::Member { capacity: 9_000, ..serving(5) };
     let beat = |heartbeat: u64| {
@@ -126,7 +127,7 @@
     assert_eq!(resubmitted_after(&mut core, ms(late)), Some(after));
 }
 
-/// Notes which callers' events are handled.
+/// Records the callers whose events are handled.
 struct Order(std::sync::mpsc::Sender<u64>);
 
 struct Numbers(Vec<u64>);
--- a/tests/direct_ledger.rs
+++ b/tests/direct_ledger.rs
@@ -1,4 +1,5 @@
-//! What an owner keeps of its pools against the same counted anew over all jobs, and what it looks at.
+//! Compares the state that an owner keeps of its pools with a recomputation over all jobs, and
+//! counts the jobs that the owner checks.
 
 mod directenv;
 
@@ -12,7 +13,7 @@
     Shape { jobs, endpoints, lasts: Duration::from_secs(4), beside: true, failing, seed }
 }
 
-/// Runs a load and compares every decision with one by counting anew.
+/// Runs a load and compares every decision with the recomputed one.
 fn compared(shape: Shape) -> Compared {
     let mut recount = Recount::default();
     OwnerLoad::new(shape).run(|scheduler, table, now, moment| match moment {
@@ -23,8 +24,8 @@
     recount.compared
 }
 
-// What waits, runs and is bound to a data centre, the order of what waits, and which endpoints are free with
-// how much room: never anything else than counted over all jobs, whatever fails.
+// The owner's state (waiting, running and bound pieces, the order of the queue, free endpoints and
+// their free result memory) equals the recomputed one, whatever fails.
 #[test_case(30.0, 12, 0, 1; "light")]
 #[test_case(60.0, 12, 0, 2; "more than the endpoints can do")]
 #[test_case(60.0, 30, 8, 3; "with calls that fail")]
@@ -36,10 +37,10 @@
     assert_eq!(compared.states_apart, 0, "{compared:?}");
 }
 
-// Admission reads room over time from a clock of whole steps, and plans are up to one step old: 65 of 1,697
-// decisions differ from those by plans made anew, near the bound and about as often one way as the other. A
-// stage that is held back is looked at every 25 ms, and of what waits two full calls: 18 of 1,480 calls
-// hold other pieces.
+// Admission reads the planned result memory from a clock of discrete steps, and plans are up to one
+// step old: 65 of 1,697 decisions differ from those of recomputed plans, near the limit and about
+// as often in either direction. A deferred stage is checked every 25 ms, and only two full calls of
+// the waiting pieces are considered: 18 of 1,480 calls hold other pieces.
 #[test]
 fn decisions_are_those_by_counting_anew_but_for_a_step_of_time() {
     let mut all = Compared::default();
@@ -56,7 +57,8 @@
     assert!(all.calls_apart * 100 <= all.calls * 2, "more than 2 calls in 100 differ: {all:?}");
 }
 
-// A job costs the same however many are held: what the owner looks at is counted, not timed.
+// The cost of a job doesn't depend on the number of held jobs; the test counts the checked jobs
+// instead of measuring time.
 #[test]
 fn an_owner_looks_at_no_more_jobs_for_a_job_when_many_are_held() {
     let few = OwnerLoad::new(shape(20.0, 12, 0, 1)).run(|_, _, _, _| {});
--- a/tests/direct_limits.rs
+++ b/tests/direct_limits.rs
@@ -1,4 +1,5 @@
-//! Limits that endpoints name: who knows, what takes them back, what waits for its turn, and what is refused.
+//! Rate limits that endpoints announce: which gateways know them, what ends them, and which
+//! requests wait for a permit or are refused.
 
 mod directenv;
 
@@ -34,14 +35,14 @@
     Statement { limit: Some(at(limit)), ..Statement::default() }
 }
 
-/// A gateway alone, settled, one of whose engines names a limit.
+/// A single, settled gateway; one of its engines has announced a limit.
 fn limited(limit: f64) -> GatewayCore {
     let mut core = configured(routes());
     says(&mut core, &engine(1), names(limit), 2_000);
     core
 }
 
-/// The calls that come of requests, one every so often, which are all answered at once.
+/// Submits a request every `every` ms, answers all calls at once and returns the calls.
 fn press(
     core: &mut GatewayCore,
     first: u64,
@@ -56,7 +57,7 @@
         actions.extend(submit(core, caller, incoming("r", Vec::new()), ms(now)));
         for (attempt, order) in calls(&actions) {
             sent.push((now, order));
-            // Whoever waited is among them, so that the attempt tells whose it is.
+            // Earlier requests may have waited; only the caller of the attempt accepts the answer.
             for caller in first..=caller {
                 let proof = good();
                 core.handle(Event::Answered { caller, attempt, proof, is_open: false }, ms(now));
@@ -92,14 +93,15 @@
     assert!(first.len() >= from && first.len() <= to, "{first:?}");
 }
 
-/// An answer to a message that went out at a time is read.
+/// Handles an answer with a limit that was read at `read`, to a message sent at `sent`.
 fn state(known: &mut KnownLimits, limit: RateLimit, sent: u64, read: u64) {
     if known.is_changed_by(&engine(1), limit, ms(sent)) {
         known.record(&engine(1), limit, ms(read));
     }
 }
 
-// Of what endpoints tell, in the order in which answers are read, with when each message went out.
+// The answers are listed as (message sent, limit, answer read), in the order in which they are
+// read.
 #[test_case(&[(0, Some(3.0), 5), (2, None, 6)], Some(3.0); "an answer that was written before")]
 #[test_case(&[(0, Some(3.0), 5), (6, None, 9)], None; "an answer without it")]
 #[test_case(&[(0, Some(3.0), 5), (2, Some(8.0), 6)], Some(3.0); "a higher one that was written before")]
@@ -113,7 +115,8 @@
         let limit = limit.map_or(RateLimit::None, at);
         state(&mut known, limit, sent, read);
     }
-    // Whoever names none any more gets more by degrees, and is free after a while.
+    // After an announcement without a limit the rate grows by steps until the endpoint is
+    // unlimited.
     let free = known.rate(&engine(1), ms(6_000));
     assert_eq!(free, expected.map(rate));
 }
@@ -154,7 +157,7 @@
         assert_eq!(gets(second as u64 * SECONDS + 500), Some(rate(rate_then)));
     }
     assert_eq!(gets(5 * SECONDS), None);
-    // It names one again meanwhile: no ramp, no stampede.
+    // A new limit within this time applies at once.
     state(&mut known, at(3.0), 2_000, 2_100);
     assert_eq!(known.rate(&engine(1), ms(9_000)), Some(rate(3.0)));
 }
@@ -225,7 +228,7 @@
             refused.push(refusal.retry_after);
         }
     }
-    // Five seconds each, half of which may go by: two endpoints, two or three turns at each.
+    // Each request may wait for half of its five seconds: two endpoints, two or three permits each.
     assert!(refused.len() >= 34 && refused.len() <= 36, "{}", refused.len());
     let true_time = |time: &Duration| *time > ms(2_300) && *time < ms(4_200);
     assert!(refused.iter().all(true_time), "{refused:?}");
@@ -249,11 +252,11 @@
     assert!(ask(1, 5, 9_000).is_empty());
     assert!(ask(2, 5, 8_000).is_empty());
     assert!(ask(3, 1, 9_000).is_empty());
-    // Two fit before it; behind what is more urgent it would be late.
+    // Two requests fit before its deadline; after the more urgent ones it would be late.
     assert!(matches!(ask(4, 9, 2_000)[..], [PermitDecision::Refused(who, turn)]
         if who == asker(4) && turn > ms(4_300) && turn < ms(4_600)));
     assert!(ask(5, 5, 4_500).is_empty());
-    // It comes first, and the last one that is less urgent has to wait for longer than it may.
+    // It takes the first place; the least urgent request would then wait too long.
     assert!(matches!(ask(6, 0, 9_000)[..], []));
     let mut given = Vec::new();
     for now in 0..8_000 {
@@ -317,7 +320,7 @@
     assert!(sent.len() >= 12 && sent.len() <= 20, "{sent:?}");
 }
 
-/// The other gateway of two, as the one that starts later hears it.
+/// Two gateways; the second one starts later and knows the first one.
 fn two() -> (GatewayCore, GatewayCore) {
     let gateway = |port| {
         let mut core = GatewayCore::new(Setup { address: address(port), ..setup() });
@@ -370,7 +373,7 @@
     told.collect()
 }
 
-/// An engine whose limiter is the other one of two gateways.
+/// Returns the permit request for an engine whose limiter is the other one of two gateways.
 fn of_the_other(core: &mut GatewayCore, now: u64) -> u64 {
     says(core, &engine(1), names(1.0), now);
     says(core, &engine(2), names(1.0), now);
@@ -427,7 +430,8 @@
     assert!((members.reachable_share(all, ms(1_200)) - 0.6).abs() < 1e-9);
     let reads = |member: &Member| member.address != address(10);
     assert!((members.reachable_share(reads, ms(1_200)) - 0.5).abs() < 1e-9, "another build");
-    // What fell silent may live on behind a cut for long after it is forgotten as a member.
+    // Unreachable gateways may still be up behind a network partition long after they have expired
+    // as members.
     let heartbeat = |port| Member { heartbeat: 900, ..serving(port) };
     let alive: Vec<Member> = (6..=10).map(heartbeat).collect();
     members.merge(&alive, ms(70_000));
@@ -464,6 +468,6 @@
     says(&mut core, &engine(1), names(4.0), 2_000);
     says(&mut core, &engine(2), names(4.0), 2_000);
     let sent = press(&mut core, 1, 2_010, 6_010, 20);
-    // Its part is half of two: what the other one sends is its own.
+    // Each of the two gateways sends half of the limit.
     assert!(sent.len() >= 10 && sent.len() <= 16, "{}", sent.len());
 }
--- a/tests/direct_links.rs
+++ b/tests/direct_links.rs
@@ -1,8 +1,8 @@
-//! Connections between gateways that fell silent, without an end: what goes on over them is lost.
+//! Connections between gateways that stop delivering data without being closed.
 //!
-//! All connections of all gateways fell silent at once. Each took the others for dead after a second, and
-//! went on to tell them so over the same connections; until the kernel gave those up, each gateway owned
-//! all stages alone, and stages were made twice.
+//! When all connections of all gateways stopped at once, each gateway took the others for
+//! unreachable after a second but kept sending over the same connections. Until the kernel closed
+//! them, each gateway owned all stages alone, and stages ran twice.
 
 mod directenv;
 
--- a/tests/direct_members.rs
+++ b/tests/direct_members.rs
@@ -1,4 +1,4 @@
-//! Members, documents and the repeat budget: what gateways believe and share.
+//! Members, documents and the repeat budget: the state that gateways keep and share.
 
 mod directenv;
 
@@ -169,8 +169,8 @@
     assert_eq!(ids, ["engine-2".into(), "engine-3".into()]);
 }
 
-/// Six listed endpoints; the publisher is away from one second on, for so long, and then lists
-/// only the first and the last.
+/// Six listed endpoints. The publisher is unavailable from one second on, for `absence` ms, and
+/// then lists only the first and the last endpoint.
 fn lapsed_after(absence: u64) -> Documents {
     let mut documents = Documents::default();
     documents.merge_list((1..=6).map(|n| entry(n, u64::from(n))).collect(), position(6), ms(0));
@@ -197,8 +197,9 @@
     assert_eq!(ids(&documents), ["engine-1", "engine-2", "engine-6"]);
 }
 
-// A gateway starts and reads the list, while a peer that was cut off still tells what it had of an endpoint that
-// has left: 51 requests in a second reached one that had just started again under that id.
+// Regression test: a gateway started and read the list while a peer that had been cut off still
+// announced an endpoint that had left. 51 requests in a second reached an endpoint that had just
+// restarted under that id.
 #[test]
 fn a_peer_that_knows_less_brings_no_endpoint_back() {
     let mut documents = Documents::default();
@@ -209,8 +210,9 @@
     assert_eq!(ids(&documents), ["engine-1", "engine-2"], "it is back");
 }
 
-// Two gateways that lost the store read the list at different revisions, and tell each other: requests went to
-// endpoints 3.4 s after they had said that they leave.
+// Regression test: two gateways that had lost the store read the list at different revisions and
+// sent it to each other. Requests were sent to endpoints 3.4 s after they had announced their
+// departure.
 #[test]
 fn an_entry_that_lapsed_is_gone_in_the_end_though_peers_tell_so_once_more() {
     let mut documents = lapsed_after(4_000);
--- a/tests/direct_orders.rs
+++ b/tests/direct_orders.rs
@@ -1,7 +1,8 @@
-//! Random schedules of 1 to 100 gateways under orders to evacuate and restarts of endpoints, in virtual time.
+//! Random schedules of 1 to 100 gateways with evacuation orders and endpoint restarts, in virtual
+//! time.
 //!
-//! Messages are late or lost, gateways are killed, cut off, or turned away by the store. `STACKMAST_SCHEDULES`
-//! sets how many, `STACKMAST_SEED` the first seed.
+//! Messages are delayed or lost; gateways are killed, cut off, or refused by the store.
+//! `STACKMAST_SCHEDULES` sets the number of schedules, `STACKMAST_SEED` the first seed.
 
 mod directenv;
 
@@ -14,7 +15,7 @@
     std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(default)
 }
 
-/// Small fleets as well as large ones, which take longer.
+/// Mixes small fleets with large ones, which take longer to run.
 fn gateways(seed: u64) -> usize {
     match seed % 6 {
         0 => 1,
--- a/tests/direct_pauses.rs
+++ b/tests/direct_pauses.rs
@@ -1,4 +1,4 @@
-//! Owners of pools that work in batches, and endpoints that leave, pause or are cold by their own word.
+//! Owners of batch pools, and endpoints that announce that they leave, pause or are cold.
 
 mod directenv;
 
@@ -95,7 +95,7 @@
     let refusal = refusal(&actions).expect("it can't be made");
     assert!(refusal.not_run);
     assert!(refusal.retry_after >= ms(19_900) && refusal.retry_after <= ms(21_500));
-    // So is what comes now.
+    // New requests are refused in the same way.
     let actions = submit(&mut core, 9, incoming("staged", vec![4, 1]), ms(100));
     let refusal = directenv::gateway::refusal(&actions).expect("nor can this");
     assert!(refusal.not_run && refusal.retry_after >= ms(19_800), "{:?}", refusal.retry_after);
@@ -117,7 +117,7 @@
     let mut core = configured(routes());
     says(&mut core, &endpoint("first", 1), pause_for(ms(9 * SECONDS)), 10);
     says(&mut core, &endpoint("first", 2), LEAVES, 10);
-    // The first job after a while has all endpoints asked.
+    // The first job after a while requests reports from all endpoints.
     let actions = submit(&mut core, 1, incoming("staged", vec![0, 1]), ms(3_000));
     let asked = |a: &Action| match a {
         Action::RequestReport(endpoint) => Some(endpoint.id.to_string()),
--- a/tests/direct_poison.rs
+++ b/tests/direct_poison.rs
@@ -1,4 +1,4 @@
-//! Requests that end the endpoints which run them.
+//! Requests that crash the endpoints that run them.
 
 mod directenv;
 
@@ -179,8 +179,8 @@
     }
 }
 
-/// The verdicts on calls of one endpoint, broken one after the other, with what a probe finds before each but the
-/// first.
+/// Verdicts on calls of one endpoint that break one after the other, with the result of a probe
+/// before each but the first.
 #[test]
 fn an_endpoint_that_lived_when_it_was_probed_is_probed_again_with_the_next_call_that_breaks() {
     let table = table(Vec::new());
--- a/tests/direct_pulls.rs
+++ b/tests/direct_pulls.rs
@@ -1,4 +1,4 @@
-//! Documents that a gateway asks of its peers: how often, and of whom.
+//! Documents that a gateway pulls from its peers: how often, and from which peer.
 
 mod directenv;
 
@@ -21,7 +21,7 @@
 use stackmast::message::Timestamp;
 use test_case::test_case;
 
-/// A gateway that knows a configuration of version 1 and one endpoint.
+/// A gateway with a configuration of version 1 and one endpoint.
 fn gateway() -> GatewayCore {
     let mut core = GatewayCore::new(Setup {
         address: address(1),
@@ -50,7 +50,7 @@
     core
 }
 
-/// A heartbeat of a peer that has seen so much.
+/// A heartbeat of a peer that has seen the documents `seen`.
 fn beat(port: u16, heartbeat: u64, seen: Seen) -> Event {
     let member = Member {
         address: address(port),
@@ -72,7 +72,7 @@
     asked.collect()
 }
 
-/// Peers 2 to 5 beat every 20 ms, having seen so much; who was asked from one time to another.
+/// Peers 2 to 5 send heartbeats with `seen` every 20 ms; returns the pulls between two times.
 fn asked(core: &mut GatewayCore, seen: Seen, from: u64, to: u64) -> Vec<(Timestamp, SocketAddr)> {
     let mut asked = Vec::new();
     for at in (from..to).step_by(5) {
@@ -83,7 +83,7 @@
     asked
 }
 
-/// Of a configuration of 500,000 bytes so many have come from a peer.
+/// The given number of bytes of a configuration of 500,000 bytes has arrived from a peer.
 fn sends(port: u16, bytes: u64) -> Event {
     let progress = Progress { pull: 0, bytes, expected: Some(500_000) };
     Event::ConfigurationPullProgress { from: address(port), progress }
@@ -190,7 +190,7 @@
     assert_ne!(next[0], address(4));
 }
 
-// The end of a transfer that was given up says nothing of a later one from the same peer.
+// The end of an abandoned transfer must not end a later one from the same peer.
 #[test_case(1, true; "the pull that is on its way")]
 #[test_case(7, false; "another pull")]
 fn only_the_end_of_the_own_pull_makes_another_peer_asked(pull: u64, is_asked: bool) {
@@ -258,7 +258,7 @@
     assert!(at <= 2_405 && endpoints == position(2) && !configuration);
 }
 
-/// Of an endpoint that is gone for long, only the revision is left.
+/// Of an endpoint that was removed long ago only the revision is kept.
 #[test]
 fn a_list_that_is_behind_by_forgotten_entries_is_not_asked_for_for_ever() {
     let mut core = gateway();
--- a/tests/direct_quarantine.rs
+++ b/tests/direct_quarantine.rs
@@ -1,4 +1,5 @@
-//! One gateway's core between crashes, probes, other gateways' news and callers who come again.
+//! One gateway's core with crashes, probes, reports of other gateways, and requests that are
+//! repeated.
 
 mod directenv;
 
@@ -34,7 +35,8 @@
     configured(vec![route("r", Repeat::AtMostOnce, &[]), staged])
 }
 
-/// The poison is called, its connection breaks, and the port is closed; says what followed.
+/// Calls an endpoint with the poison, breaks the connection and reports a closed port; returns the
+/// resulting actions.
 fn crash(core: &mut GatewayCore, caller: u64, now: Duration) -> Vec<Action> {
     let actions = submit(core, caller, poison("r", vec![]), now);
     let (attempt, order) = calls(&actions).remove(0);
@@ -45,7 +47,7 @@
     let Endpoint { id, incarnation, .. } = (*order.endpoint).clone();
     let event = Event::Probed { endpoint: id.clone(), incarnation, is_closed: true };
     let actions = core.handle(event, now + ms(12));
-    // It is back at once, in another life.
+    // The endpoint is up again at once, in a new incarnation.
     let number = if &*id == "engine-1" { 1 } else { 2 };
     let back = Endpoint { incarnation: 100 + caller, ..(*endpoint("engine", number)).clone() };
     let documents = listed(&[Arc::new(back)], 10 + caller);
@@ -97,7 +99,7 @@
     assert_eq!(because(&actions).as_deref(), Some("least_load"));
 }
 
-/// What another gateway knows of the poison.
+/// The poison as known to another gateway.
 fn known() -> Suspects {
     let fingerprint = content().for_organisation(Some("org"));
     let mut suspects = Suspects::default();
--- a/tests/direct_requests.rs
+++ b/tests/direct_requests.rs
@@ -1,4 +1,5 @@
-//! Callers' requests in a gateway's core: one final answer each, and no run that wasn't proved away.
+//! Callers' requests in a gateway's core: one final answer each, and no second run unless it is
+//! proved that the first did not happen.
 
 mod directenv;
 
@@ -311,7 +312,7 @@
     assert_eq!(refusal(&actions).expect("dropped").reason, Refused::UnknownRoute);
 }
 
-/// A gateway beside another one that owns the stages: its address and incarnation.
+/// A gateway next to one that owns its stages, and the port of the owner.
 fn beside_an_owner(route: &Route) -> (GatewayCore, u16) {
     for port in 2..20 {
         let mut core = configured(vec![route.clone()]);
@@ -339,7 +340,7 @@
     JobId { gateway: address(1), incarnation: 1, number: JOB }
 }
 
-/// A gateway whose owner has made the first of two stages: it, and the owner's address.
+/// A gateway whose owner has produced the first of two stages, and the owner's address.
 fn with_one_stage_made() -> (GatewayCore, std::net::SocketAddr) {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10), ("second", &[0], 10)]);
     let (mut core, port) = beside_an_owner(&route);
--- a/tests/direct_restarts.rs
+++ b/tests/direct_restarts.rs
@@ -1,4 +1,4 @@
-//! Endpoints that start again under their ids: nothing of the life before is believed.
+//! Endpoints that restart under their ids: no state of the previous incarnation is used.
 
 mod directenv;
 
@@ -21,7 +21,7 @@
 use stackmast::direct::repeats::RepeatBudget;
 use test_case::test_case;
 
-/// An endpoint that tells its life.
+/// An endpoint in the given incarnation.
 fn living(service: &str, number: u16, incarnation: u64) -> Arc<Endpoint> {
     Arc::new(Endpoint { incarnation, ..(*endpoint(service, number)).clone() })
 }
@@ -58,7 +58,7 @@
     assert_eq!(back.restarted, ["engine-1".into()], "a clock may have stepped back");
 }
 
-/// A gateway with one engine in its first life, whose request `r` is with it.
+/// A gateway with one engine in its first incarnation, which runs a request of route `r`.
 fn called(repeat: Repeat) -> (GatewayCore, u64) {
     let mut core = directenv::gateway::configured(vec![route("r", repeat, &[])]);
     let documents = vec![
@@ -127,7 +127,7 @@
     assert_eq!(chosen(&mut core, 2, ms(7)), "engine-2", "the other one told that it is full");
     restart(&mut core, 8, ms(8));
     assert_eq!(chosen(&mut core, 3, ms(9)), "engine-1", "it runs nothing now");
-    // What was sent to the life before ends without counting for this one.
+    // A call to the previous incarnation ends without counting for the current one.
     core.handle(Event::CallFailed { caller: 2, attempt: 2, failure: CallFailure::Broken }, ms(10));
 }
 
--- a/tests/direct_results.rs
+++ b/tests/direct_results.rs
@@ -1,5 +1,5 @@
-//! Results of stages: how long they are kept for the endpoint that needs them, and what follows when they
-//! are gone.
+//! Results of stages: how long they are kept for the endpoint that needs them, and what happens
+//! when they have been freed too early.
 
 mod directenv;
 
@@ -14,7 +14,7 @@
 use stackmast::direct::log_events::LogEvent;
 use stackmast::direct::published::model::{Repeat, Route};
 
-/// Makes two stages of the only request; gives what follows and when.
+/// Produces two stages of the only request; returns the resulting actions and their time.
 fn make_stages(
     core: &mut GatewayCore,
     mut actions: Vec<Action>,
@@ -65,8 +65,9 @@
     assert_eq!(core.in_flight(), 0);
 }
 
-/// Requests with stages, one after the other, whose first events come `first_event` after their calls went
-/// out; says after how long the results of each were freed, and when all are over.
+/// Runs `count` requests with stages one after the other; the first event of each arrives
+/// `first_event` ms after its call was sent. Returns after how many milliseconds the results of
+/// each were freed, and the time at the end.
 fn freed_after(core: &mut GatewayCore, count: u64, first_event: u64) -> (Vec<u64>, Duration) {
     let mut now = ms(0);
     let mut freed = Vec::new();
@@ -141,8 +142,9 @@
     assert!(!frees(&core.handle(Event::Tick, now + ms(500))), "until the first event again");
 }
 
-/// On small hosts whose links carried a long configuration, 292 of 5,900 requests met their results freed:
-/// their connections came up 60 ms and more after the calls were ordered.
+/// Regression test: on small hosts whose links carried a long configuration, 292 of 5,900 requests
+/// found their results freed, because their connections were established 60 ms and more after the
+/// calls were ordered.
 #[test]
 fn results_are_kept_while_a_call_waits_for_its_connection() {
     let mut core = configured(vec![staged(Repeat::AtMostOnce)]);
--- a/tests/direct_scheduler.rs
+++ b/tests/direct_scheduler.rs
@@ -1,4 +1,4 @@
-//! The owner of pools that work in batches: pieces, room, repeats.
+//! The owner of batch pools: pieces, result memory, repeats.
 
 mod directenv;
 
@@ -19,7 +19,7 @@
     Scheduler::new(RepeatBudget { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) })
 }
 
-/// Calls among actions: id, endpoint, pieces.
+/// Calls among the actions: id, endpoint, pieces.
 fn calls(actions: &[Action]) -> Vec<(u64, String, Vec<PieceParams>)> {
     let calls = actions.iter().filter_map(|a| match a {
         Action::CallBatch { call, endpoint, pieces, .. } => {
@@ -51,7 +51,7 @@
     BatchOutcome::Pieces(handles.collect())
 }
 
-/// Answers every call as made until none is left; returns all actions.
+/// Answers every call with results until none is left; returns all actions.
 fn run_to_the_end(scheduler: &mut Scheduler, table: &Table, mut now: Duration) -> Vec<Action> {
     let mut all = Vec::new();
     loop {
@@ -202,7 +202,7 @@
     assert_eq!(freed(&scheduler.actions(&table, ms(3_000))), ["1/0"]);
 }
 
-/// A settled owner whose second stage has been at work for 110 ms: its call, and the time.
+/// A settled owner whose second stage has been running for 110 ms: its call, and the time.
 fn owner_with_fetched_inputs(
     scheduler: &mut Scheduler,
     table: &Table,
@@ -338,7 +338,7 @@
     assert_eq!(*open[0].2[0].inputs[0], *"old/0");
 }
 
-/// Endpoints that were asked how they stand.
+/// Endpoints whose reports were requested.
 fn asked(actions: &[Action]) -> Vec<String> {
     let asked = actions.iter().filter_map(|a| match a {
         Action::RequestReport(endpoint) => Some(endpoint.id.to_string()),
@@ -388,8 +388,8 @@
     assert_eq!(asked(&scheduler.actions(&table, ms(20))), [endpoint]);
 }
 
-// The load: a burst that leaves no pool without a queue, so that room for results is what lacks. With calls of
-// four, the second of two stages of three pieces would be made in two calls.
+// A burst that leaves a queue in every pool, so that result memory is scarce. With calls of four
+// pieces, the second of two stages of three pieces would need two calls.
 #[test]
 fn a_stage_goes_with_others_only_as_a_whole() {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10)]);
@@ -414,13 +414,13 @@
         sent.push((requests.join(" "), pieces.len()));
     }
     let sent: Vec<_> = sent.iter().map(|(requests, pieces)| (requests.as_str(), *pieces)).collect();
-    // What is too large for any call begins one.
+    // A stage that is too large for any call starts a call of its own.
     let expected =
         [("request-4", 4), ("request-4", 2), ("request-1 request-3", 4), ("request-2", 3)];
     assert_eq!(sent, expected);
 }
 
-/// A table whose pools have room for results that are worth a place.
+/// A table whose pools have enough result memory for results that bind to a data centre.
 fn roomy(routes: Vec<Route>, without: &str) -> Table {
     let mut deployment = deployment(1, routes);
     let pools = deployment.pools.into_iter().map(|pool| match &*pool.name {
@@ -438,7 +438,7 @@
     let stages: &[(&str, &[usize], u64)] =
         &[("first", &[], 10), ("second", &[0], 400_000), ("third", &[1], 10)];
     let route = route("r", Repeat::AtMostOnce, stages);
-    // The first stage can be made in one data centre only, the others in both.
+    // The first stage can run in one data centre only, the others in both.
     let table = roomy(vec![route.clone()], "first-2");
     let mut scheduler = scheduler();
     for number in 1..=2 {
--- a/tests/direct_schedules.rs
+++ b/tests/direct_schedules.rs
@@ -1,8 +1,8 @@
 //! Random schedules of several gateways that call endpoints directly, in virtual time.
 //!
-//! Callers, endpoints that fail in every way, messages between gateways that are late or lost, owners
-//! that are killed, cut off and stopped, configurations and entries that change. What must hold is
-//! checked at every step. `STACKMAST_SCHEDULES` sets how many, `STACKMAST_SEED` the first seed.
+//! Endpoints fail in every way, messages between gateways are delayed or lost, owners are killed,
+//! cut off and stopped, configurations and entries change. The guarantees are checked at every
+//! step. `STACKMAST_SCHEDULES` sets the number of schedules, `STACKMAST_SEED` the first seed.
 
 mod directenv;
 
@@ -10,7 +10,7 @@
 use directenv::world::{GATEWAYS, Happening, World};
 
 const SCHEDULES: u64 = 400;
-/// Of those with planned stops, which hold more callers.
+/// Number of schedules with planned stops, which have more callers.
 const STOP_SCHEDULES: u64 = 60;
 
 fn number(name: &str, default: u64) -> u64 {
@@ -37,8 +37,9 @@
     assert!(answered > 0);
 }
 
-// A seed that shows a fault is played again: so nothing may hang on the order of a hash map. Of 400 schedules played
-// three times, one or two differed while requests of a lost owner went on in such an order.
+// A seed that shows a fault must reproduce it, so nothing may depend on the order of a hash map. Of
+// 400 schedules run three times, one or two differed while requests of a lost owner were continued
+// in such an order.
 #[test]
 fn a_schedule_runs_the_same_way_each_time() {
     for seed in 1..=60 {
@@ -51,8 +52,8 @@
     }
 }
 
-// Streams last up to 6.5 s and gateways are stopped, several at once: what a gateway takes later than
-// three seconds after its signal is whole before its process ends.
+// Streams last up to 6.5 s and several gateways are stopped at once: a stream that a gateway
+// accepts later than three seconds after its signal is complete before the process ends.
 #[test]
 fn random_schedules_with_planned_stops_cut_nothing_that_was_taken_late() {
     let first = number("STACKMAST_SEED", 1);
@@ -81,8 +82,8 @@
     assert!(ended > 0 && (served_late > 0 || count < STOP_SCHEDULES));
 }
 
-// Endpoints say in answers that they leave or want nothing for a while: a gateway that has heard it sends nothing
-// that they don't want, whatever else happens.
+// Endpoints announce in responses that they leave or pause: a gateway that has received the
+// announcement sends nothing that it excludes, whatever else happens.
 #[test]
 fn random_schedules_of_endpoints_that_say_what_they_want_keep_to_it() {
     let first = number("STACKMAST_SEED", 1);
@@ -105,7 +106,7 @@
     assert!(said > 0 && (checked > 0 || count < SCHEDULES));
 }
 
-// Without trouble, everything that can be served is, and nothing is left at the makers.
+// Without faults, every request that can be served is served, and all results are freed.
 #[test]
 fn a_calm_schedule_serves_all_and_frees_all() {
     for seed in 1..20 {
--- a/tests/direct_standstill.rs
+++ b/tests/direct_standstill.rs
@@ -1,8 +1,10 @@
-//! A process that stood still for seconds, frozen or on a suspended machine: what it judges when it goes on.
+//! A process that was suspended for seconds, with its machine or alone, and its decisions when it
+//! resumes.
 //!
-//! A steady clock doesn't count a suspension, so a process that goes by one takes all that it knows for fresh. One
-//! that counts it takes everybody else for silent. Both are wrong: its own time has passed, and what others
-//! said meanwhile waits to be read.
+//! With a clock that doesn't count the suspension, the process would take outdated state for
+//! current. With a clock that counts it, the process would take all peers for unreachable, although
+//! their messages of that time are still unread. It has to count the time and read the messages
+//! before it decides.
 
 mod directenv;
 
@@ -25,7 +27,7 @@
 
 const SUSPENDED: Duration = Duration::from_secs(5);
 
-/// A clock that can be moved on, as by a suspension that the runtime's timers don't see.
+/// A clock that can be advanced, as by a suspension that the runtime's timers don't notice.
 fn clock() -> (Clock, Arc<AtomicU64>) {
     let suspended = Arc::new(AtomicU64::new(0));
     let by = suspended.clone();
@@ -33,7 +35,7 @@
     (Clock::new(read), suspended)
 }
 
-/// Tells what it is told.
+/// Core that records its notifications.
 struct Told(std::sync::mpsc::Sender<(&'static str, Duration)>);
 
 impl Core for Told {
@@ -109,7 +111,7 @@
     actions.iter().filter(is_lost).count()
 }
 
-/// The process stands still from one time to another.
+/// Suspends the process from one time to another.
 fn stand_still(core: &mut GatewayCore, from: Duration, to: Duration) -> Vec<Action> {
     core.handle(Event::Tick, from);
     core.on_suspension(to - from, to);
--- a/tests/direct_stops.rs
+++ b/tests/direct_stops.rs
@@ -1,4 +1,5 @@
-//! A gateway that is told to stop: what it takes after that is answered whole before it ends.
+//! A gateway that was signalled to stop: requests that it accepts afterwards are answered
+//! completely before it ends.
 
 mod directenv;
 
@@ -15,7 +16,7 @@
 use stackmast::direct::published::model::{Repeat, Route};
 use test_case::test_case;
 
-/// When the signals of these tests come.
+/// Time of the stop signal in these tests.
 const SIGNAL: Duration = Duration::from_secs(20);
 
 fn stream(name: &str) -> Route {
@@ -31,12 +32,12 @@
     Route { stages, ..stream("s") }
 }
 
-/// A request that waits for twenty seconds.
+/// A request with a timeout of twenty seconds.
 fn patient(route: &str, pieces: Vec<usize>) -> IncomingRequest {
     IncomingRequest { timeout: Some(Duration::from_secs(20)), ..incoming(route, pieces) }
 }
 
-/// Serves one stream of this length.
+/// Serves one stream of this duration.
 fn serve(core: &mut GatewayCore, caller: u64, name: &str, length: Duration) {
     let now = ms(1_000);
     let attempt = calls(&submit(core, caller, patient(name, Vec::new()), now))[0].0;
@@ -51,7 +52,7 @@
     refusal(actions).is_some_and(|r| r.not_run && r.reason == Refused::Draining)
 }
 
-/// Serves one plain request of this length.
+/// Serves one plain request of this duration.
 fn serve_plain(core: &mut GatewayCore, caller: u64, name: &str, length: Duration) {
     let now = ms(1_000);
     let attempt = calls(&submit(core, caller, patient(name, Vec::new()), now))[0].0;
@@ -59,8 +60,9 @@
     assert_eq!(core.in_flight(), 0);
 }
 
-// Issue 18: taken 3.06 s after the signal, cut when the process ended. A seeded soak found later that
-// short streams say little of the next one: the long ones of a route end last.
+// Regression test (issue 18): a request accepted 3.06 s after the signal was cut when the process
+// ended. A seeded soak test found later that the durations of short streams don't bound that of the
+// next one: the long streams of a route end last.
 #[test]
 fn what_can_not_end_before_the_process_is_refused_at_the_door() {
     let mut core = configured(vec![stream("long"), stream("short"), plain()]);
@@ -82,7 +84,7 @@
     assert_eq!(calls(&submit(&mut core, 6, hasty, now)).len(), 1, "its time is over by then");
 }
 
-/// A gateway beside one that stops too and has this request's stages since `submitted`.
+/// A gateway next to one that also stops and owns this request's stages since `submitted`.
 fn beside_an_owner(submitted: Duration) -> (GatewayCore, u16) {
     for port in 2..20 {
         let mut core = configured(vec![staged(), stream("long")]);
@@ -101,7 +103,7 @@
     panic!("no peer is the owner");
 }
 
-/// The call that makes a piece.
+/// The call that produces a piece.
 fn batch_call(actions: &[Action]) -> Option<u64> {
     actions.iter().find_map(|a| match a {
         Action::CallBatch { call, .. } => Some(*call),
@@ -109,7 +111,7 @@
     })
 }
 
-/// The call with one piece that was made of these actions ends well.
+/// Successful end of the call with one piece among these actions.
 fn made(actions: &[Action]) -> Event {
     let outcome = BatchOutcome::Pieces(vec![PieceOutcome::Made("p".into())]);
     Event::BatchEnded { call: batch_call(actions).expect("a call"), outcome }
@@ -158,7 +160,8 @@
     Route { streams: false, ..stream("plain") }
 }
 
-// A cold review of issue 18's mend: refusals that come fast said how long others take.
+// Regression test (issue 18): the short durations of refusals were used to predict those of other
+// requests.
 #[test]
 fn what_failed_fast_is_no_experience() {
     let mut core = configured(vec![plain()]);
@@ -177,8 +180,9 @@
     assert!(refused_as_not_run(&submit(&mut core, 3, patient("plain", Vec::new()), now)));
 }
 
-// A core that lags hears of the signal late; the process does not end later for it. What took 3.6 s
-// surely ends within 4.32 s and 0.2 s on the way: 7.7 s after the signal is too soon for it.
+// A core with event lag handles the signal late, but the process doesn't end later. A request that
+// took 3.6 s ends within 4.32 s plus 0.2 s of transmission, so 7.7 s after the signal is too early
+// for it.
 #[test_case(0, 3_100, true; "in time")]
 #[test_case(0, 3_300, false; "too late")]
 #[test_case(400, 3_300, false; "too late, and the signal was heard late")]
@@ -231,8 +235,8 @@
     Member { state: MemberState::Leaving, ..serving(port) }
 }
 
-/// When a caller is told to come back who asks `after` the signal, with these others heard of at the
-/// signal and again 200 ms before.
+/// Retry time of a request that arrives `after` ms after the signal, with heartbeats of these
+/// gateways at the signal and 200 ms before the request.
 fn told_to_come_back(others: &[Member], after: u64) -> Duration {
     let mut core = configured(vec![stream("long")]);
     core.handle(Event::Drain { at: SIGNAL }, SIGNAL);
@@ -247,7 +251,7 @@
     refusal(&actions).expect("refused").retry_after
 }
 
-// Each is made longer by up to a half, so that callers don't come back together.
+// Each retry time is extended by up to a half, so that callers don't return all at once.
 #[test_case(&[serving(2)], 2_000, 100; "another serves")]
 #[test_case(&[], 4_000, 1_200; "alone")]
 #[test_case(&[leaving(2)], 4_000, 1_000; "another that stops, too, and ends as soon as it may")]
@@ -278,7 +282,7 @@
     assert_eq!(core.in_flight(), 0);
 }
 
-/// A job of the gateway at this port, which waits for its answer for so long.
+/// A job of the gateway at this port, with this time to its deadline.
 fn job_of(port: u16, to_deadline: Duration) -> Job {
     let mut job = job(1, &staged(), 1);
     (job.id.gateway, job.to_deadline) = (address(port), to_deadline);
@@ -290,7 +294,7 @@
     core.handle(Event::PeerMessage { from: job.id.gateway, message }, now)
 }
 
-/// What the gateway at this port is told of its jobs.
+/// Messages about jobs to the gateway at this port.
 fn told(actions: &[Action], port: u16) -> Vec<&PeerMessage> {
     let told = actions.iter().filter_map(|a| match a {
         Action::Send { to, message } if *to == address(port) => Some(message),
@@ -304,7 +308,7 @@
     told.len() == 1 && told.iter().all(is_refused)
 }
 
-// Seven and a half seconds are left after the signal.
+// The process has 7.5 s left after the signal.
 #[test_case(0, 7_400, true; "ends before the process")]
 #[test_case(0, 7_600, false; "may end after the process")]
 #[test_case(3_300, 4_100, true; "late, and ends before the process")]
@@ -349,8 +353,8 @@
     assert!(is_done(&told[1..]), "what was told may be lost: {told:?}");
 }
 
-// The owner that serves has just refused; the one that stops takes its own request's job, and nobody
-// else's.
+// The serving owner has just refused; the stopping one accepts the job of its own request, but no
+// jobs of other gateways.
 #[test]
 fn a_stopping_owner_takes_the_jobs_of_its_own_requests() {
     let mut core = configured(vec![staged(), stream("long")]);
@@ -363,7 +367,8 @@
         beat.heartbeat += 1;
         hear_of(&mut core, vec![beat.clone()], SIGNAL - ms(1_500) + ms(200) * number);
     }
-    // Its time is over before the process ends: no experience is needed to take it.
+    // The request times out before the process ends, so no recorded durations are needed to accept
+    // it.
     let actions = submit(&mut core, 3, incoming("s", vec![1]), SIGNAL + ms(1_400));
     let is_submitted = |m: &&PeerMessage| matches!(m, PeerMessage::Submit(_));
     assert!(told(&actions, 3).iter().any(is_submitted), "{actions:?}");
@@ -382,7 +387,8 @@
     assert!(is_refused_as_not_owned(&told(&actions, 3), other.id), "others serve");
 }
 
-// Long ones end late: where only the short ones have ended, what still runs tells how long it may take.
+// Long streams end late: if only short ones have ended, the running ones show how long a stream may
+// take.
 #[test]
 fn what_still_runs_for_longer_than_is_left_is_experience_too() {
     let mut core = configured(vec![stream("s")]);
--- a/tests/direct_upgrades.rs
+++ b/tests/direct_upgrades.rs
@@ -1,9 +1,10 @@
-//! Gateways of two builds side by side: what one writes, the other reads, or whoever wrote it hears at once that it was
-//! not read.
+//! Gateways of two builds side by side: each reads the messages of the other, or the sender learns
+//! at once that a message could not be read.
 //!
-//! What was seen: a compact message named no form. A gateway remembered by address what a peer reads, and kept that
-//! when the peer was replaced in place by another build, until the new one's first connection came. What it wrote
-//! meanwhile was dropped, or could have been read as something else, and a job on its way was waited for.
+//! Compact messages used to carry no form. A gateway remembered by address what a peer reads, and
+//! kept this after the peer had been replaced in place by another build, until the first connection
+//! of the new one. Its messages in between were dropped, or could have been misread, and a gateway
+//! waited in vain for jobs on their way.
 
 mod directenv;
 
@@ -36,7 +37,7 @@
     LengthDelimitedCodec::builder().new_framed(stream)
 }
 
-/// One gateway: where its peers connect, and what it tells with.
+/// A gateway: the address for its peers, its outgoing links and its core.
 async fn gateway() -> (SocketAddr, PeerLinks, Handle<GatewayCore>) {
     let listener = TcpListener::bind(address(0)).await.expect("a port");
     let at = listener.local_addr().expect("its address");
@@ -52,7 +53,7 @@
     PeerMessage::Submit(Box::new(job(number, &route, 1)))
 }
 
-/// Takes the next connection, and its first message.
+/// Accepts the next connection, and reads its first message.
 async fn taken(listener: &TcpListener) -> (Connection, serde_json::Value) {
     let (stream, _) = timeout(WITHIN, listener.accept()).await.expect("in time").expect("one");
     let mut connection = framed(stream);
@@ -60,7 +61,7 @@
     (connection, serde_json::from_slice(&hello).expect("a greeting"))
 }
 
-/// What an older build does with a message that comes over a connection: it reads JSON.
+/// Whether an older build reads a message that it receives over a connection: it reads JSON only.
 fn is_read_by_older(frame: &[u8]) -> bool {
     serde_json::from_slice::<PeerMessage>(frame).is_ok()
 }
@@ -69,13 +70,13 @@
     timeout(WITHIN, connection.next()).await.expect("in time").expect("a message").expect("whole")
 }
 
-// The load: an owner is replaced in place by an older build while jobs are on their way to it.
+// An owner is replaced in place by an older build while jobs are on their way to it.
 #[tokio::test]
 async fn a_peer_that_is_replaced_in_place_by_another_build_gets_what_it_reads() {
     let (at, peers, _core) = gateway().await;
     let owner = TcpListener::bind(address(0)).await.expect("a port");
     let owner_at = owner.local_addr().expect("its address");
-    // The owner greets as this build does, so it reads what this build writes.
+    // The owner sends the greeting of this build, so it reads this build's form.
     peers.send(owner_at, PeerMessage::NoConfiguration);
     let (connection, hello) = taken(&owner).await;
     let mut greeting = hello;
@@ -84,7 +85,7 @@
     let greeting = serde_json::to_vec(&greeting).expect("a greeting");
     to_gateway.send(bytes::Bytes::from(greeting)).await.expect("sent");
     tokio::time::sleep(Duration::from_millis(50)).await;
-    // It is replaced: its connections end, and the one that takes its place has not called yet.
+    // The owner is replaced: its connections end, and its successor hasn't connected yet.
     drop(connection);
     drop(to_gateway);
     tokio::time::sleep(Duration::from_millis(50)).await;
@@ -117,7 +118,7 @@
         let frame = next(&mut connection).await;
         assert_eq!(read(&frame, FORM), Ok(submission(2)));
         assert!(!is_read_by_older(&frame), "it is compact");
-        // It ends, and another takes its place.
+        // The connection ends, and another peer takes the address.
         drop(connection);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
@@ -156,7 +157,7 @@
     let (at, _peers, core) = gateway().await;
     let mut older = framed(TcpStream::connect(at).await.expect("a connection"));
     older.send(greeting(address(9), 2)).await.expect("sent");
-    // A submission as the landing before the last one wrote it, whatever it says.
+    // A submission in the compact form of an earlier release, with arbitrary content.
     older.send(bytes::Bytes::from_static(&[5, 0, 1, 2, 3])).await.expect("sent");
     let told = Instant::now();
     let end = timeout(WITHIN, older.next()).await.expect("in time");
@@ -176,7 +177,7 @@
     assert!(end.is_err(), "the next one may be read: {end:?}");
 }
 
-/// What a core tells, but for heartbeats.
+/// Messages that a core sends, except heartbeats.
 fn told(actions: &[Action]) -> Vec<(SocketAddr, PeerMessage)> {
     let told = actions.iter().filter_map(|a| match a {
         Action::Send { to, message } => Some((*to, message.clone())),
@@ -210,7 +211,7 @@
     let routes = vec![route("r", Repeat::AtMostOnce, &[("first", &[], 10)])];
     let mut core = configured(routes);
     hear_of(&mut core, (2..=4).map(serving).collect(), ms(10));
-    // One of the others owns some of these.
+    // One of the other gateways owns some of these jobs.
     for caller in 1..=40 {
         let actions = submit(&mut core, caller, incoming("r", vec![1]), ms(20 + caller));
         let submitted = told(&actions).into_iter().find_map(|(to, message)| match message {
@@ -273,7 +274,7 @@
     let order =
         EvacuationChange { data_centre: "hall-9".into(), position: position(9), in_force: true };
     core.handle(Event::Evacuations { changes: vec![order], snapshot_at: Some(position(9)) }, ms(2));
-    // A heartbeat with nothing but what the first landing of all wrote.
+    // A heartbeat with the fields of the first release only.
     let member = serde_json::to_value(serving(5)).expect("JSON");
     let heartbeat = serde_json::json!({ "Gossip": {
         "members": [member], "seen": { "version": 1, "endpoints": 2 }, "complete": true, "usage": [],
--- a/tests/directenv/eras/checks.rs
+++ b/tests/directenv/eras/checks.rs
@@ -1,17 +1,17 @@
-//! What must hold of each gateway that is in touch.
+//! Guarantees that are checked for each gateway that is in touch.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use super::{DATA_CENTRES, ENDPOINTS, Fleet, IN_TOUCH, LAPSES, State, Truth, name};
 
-/// A version is in force after so long.
+/// Time until a new version is in force.
 const IN_FORCE: Duration = Duration::from_secs(2);
-/// An endpoint that leaves gets nothing after so long.
+/// Time after which an endpoint that leaves gets no requests.
 const DRAINED: Duration = Duration::from_secs(2);
-/// An endpoint that lives is lost no longer than a heartbeat and its propagation.
+/// Longest time for which a live endpoint may be unused: one heartbeat and its propagation.
 const LOST_AT_MOST: Duration = Duration::from_millis(2_200);
-/// An order is obeyed after so long.
+/// Time until an order is obeyed.
 const OBEYED: Duration = Duration::from_secs(5);
 
 impl Fleet {
@@ -35,7 +35,8 @@
         }
     }
 
-    /// Whether what was written at some time is owed: the store has been back for long enough.
+    /// Whether a write must be in force by now, because the store has been available for long
+    /// enough.
     fn is_owed(&self, written: Duration, within: Duration) -> bool {
         let stable = self.returned + IN_TOUCH;
         !self.is_away && self.time.now >= written + within && self.time.now >= stable
@@ -74,7 +75,8 @@
             let is_over = |time: Duration| taken.checked_add(time).is_some_and(|at| now >= at);
             let has_left = state == State::Leaves && is_over(DRAINED);
             let has_ended = state == State::Ended && is_over(DRAINED);
-            // What gateways had before the return holds on; the rest is written again.
+            // Gateways keep what they had before the store returned; everything else is written
+            // again.
             let was_heard = taken.checked_add(IN_FORCE).is_some_and(|at| at < self.returned);
             let is_settled = has_left && (was_heard || now >= self.returned + IN_TOUCH)
                 || has_ended && now >= self.returned + IN_TOUCH + LAPSES;
--- a/tests/directenv/eras/mod.rs
+++ b/tests/directenv/eras/mod.rs
@@ -1,5 +1,6 @@
-//! A fleet of any size in virtual time before a store that comes back from older copies, in series, beside losses of
-//! gateways: what each gateway believes of versions, endpoints and orders is checked against what was written.
+//! Simulates a fleet of any size in virtual time with a store that is repeatedly restored from
+//! older copies, while gateways fail. Each gateway's view of versions, endpoints and orders is
+//! checked against what was written.
 
 mod checks;
 mod plan;
@@ -20,13 +21,14 @@
 use super::timeline::{Gateway, Timeline, heard};
 use super::{deployment, endpoint, ms, route};
 
-/// A gateway that was cut off, turned away or started is in touch after so long, and so is all after the store's return.
+/// Time until a gateway that was cut off, refused by the store or started is in touch again, and
+/// until all gateways are after the store has returned.
 const IN_TOUCH: Duration = Duration::from_secs(4);
-/// Whoever lives writes its entry again within that after the store's return.
+/// A live endpoint writes its entry again within this time after the store has returned.
 const HEARTBEAT_MS: u64 = 1_200;
-/// An entry that nobody renews lapses.
+/// Time after which an entry that is not renewed expires.
 const LAPSES: Duration = Duration::from_millis(3_600);
-/// A quiet watch ends.
+/// A watch without events ends after this time.
 const WATCH_MS: u64 = 2_000;
 const LOOK_EVERY: Duration = Duration::from_millis(100);
 const COPY_EVERY: Duration = Duration::from_millis(100);
@@ -37,17 +39,17 @@
 enum Happening {
     Event(usize, u64, Box<Event>),
     Wake(usize, u64),
-    /// A gateway reads everything from the store.
+    /// A gateway reads the complete store.
     Read(usize, u64),
     Copy,
     Look,
-    /// The store is away, and comes back from a copy of so long ago.
+    /// The store becomes unavailable; `Return` restores it from a copy of the given age.
     Away,
     Return(Duration),
-    /// What the operator has in mind is written, if the store has it otherwise.
+    /// The operator's intended state is written where the store differs from it.
     WriteVersion,
     WriteOrders,
-    /// An endpoint writes how it is, or its entry lapses.
+    /// An endpoint writes its state, or its entry expires.
     WriteEntry(u16),
     Configure,
     Order(u16, bool),
@@ -60,17 +62,17 @@
     TurnAway(usize, bool),
 }
 
-/// What the store holds.
+/// Contents of the store.
 #[derive(Clone, Default)]
 struct Contents {
     revision: u64,
     version: (u64, u64),
-    /// Entries: revision, creation, what was written.
+    /// Entries: revision, revision of creation, and endpoint.
     entries: BTreeMap<Name, (u64, u64, Arc<Endpoint>)>,
     orders: BTreeMap<Name, u64>,
 }
 
-/// How an endpoint is.
+/// State of an endpoint.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum State {
     Lives,
@@ -81,12 +83,12 @@
 struct Truth {
     state: State,
     since: Duration,
-    /// When the store first took that.
+    /// When the store first accepted the write.
     taken: Option<Duration>,
     incarnation: u64,
 }
 
-/// What was seen.
+/// Results of a schedule.
 #[derive(Debug, Default, Clone)]
 pub struct Seen {
     pub returns: usize,
@@ -94,11 +96,11 @@
     pub breaches: Vec<String>,
 }
 
-/// The fleet.
+/// Gateways, endpoints and the store of one schedule.
 pub struct Fleet {
     time: Timeline<Happening>,
     gateways: Vec<Gateway>,
-    /// Up to where each gateway follows the store.
+    /// The position up to which each gateway follows the store.
     follows: Vec<Position>,
     next_delivery: Vec<Duration>,
     versions: Vec<u64>,
@@ -108,7 +110,7 @@
     is_away: bool,
     returned: Duration,
     endpoints: Vec<Truth>,
-    /// Since when an endpoint that lives is not used by a gateway.
+    /// Since when a gateway has not used an endpoint that is up.
     lost: BTreeMap<(usize, u16), Duration>,
     version: (u64, Duration),
     orders: BTreeMap<u16, (bool, Duration)>,
@@ -347,8 +349,8 @@
         !self.is_away && !is_cut && !is_away && core.is_some()
     }
 
-    /// A write reaches all followers; those of an earlier era only once the store has passed their position, by an
-    /// answer that names the new era.
+    /// Sends a write to all followers. Followers of an earlier era get it only once the store has
+    /// passed their position, with an answer that names the new era.
     fn tell_all(&mut self, event: &dyn Fn() -> Event) {
         for gateway in 0..self.gateways.len() {
             if !self.is_served(gateway) {
@@ -363,7 +365,7 @@
         }
     }
 
-    /// Answers come to a gateway in order, each a while after the one before.
+    /// Delivers answers to a gateway in order, each some time after the one before.
     fn deliver(&mut self, gateway: usize, event: Event) {
         let at = self.time.now + self.time.time_in(2, 300);
         let at = at.max(self.next_delivery[gateway]);
@@ -443,7 +445,7 @@
         self.versions[number] = version;
     }
 
-    /// A message between gateways: late, or lost.
+    /// Sends a message between gateways, delayed; some messages are lost.
     fn send(&mut self, from: usize, to: u16, event: Event) {
         let to = usize::from(to) - 1;
         if to >= self.gateways.len() || self.time.rng.random_bool(self.loss) {
--- a/tests/directenv/eras/plan.rs
+++ b/tests/directenv/eras/plan.rs
@@ -1,4 +1,4 @@
-//! What happens in one schedule, by its seed.
+//! Plans the happenings of one schedule from its seed.
 
 use std::time::Duration;
 
--- a/tests/directenv/fakes.rs
+++ b/tests/directenv/fakes.rs
@@ -1,4 +1,5 @@
-//! Endpoints of the world: engines, plain services and makers, each of which checks what it is given.
+//! Simulated endpoints (engines, plain services and pool endpoints) that check every request they
+//! receive.
 
 use std::collections::{BTreeSet, HashSet};
 
@@ -14,7 +15,8 @@
 use super::world::{Happening, World};
 
 impl World {
-    /// An endpoint tells how it stands, if it is not silent; what it tells may be wrong by now.
+    /// An endpoint reports its load, unless it is silent; the report may be outdated when it
+    /// arrives.
     pub fn report(&mut self, number: usize, endpoint: &Endpoint) {
         if self.is_troubled() && self.chance(0.2) {
             return;
@@ -28,7 +30,7 @@
         self.at(at, Happening::Event(number, self.lives[number], Box::new(event)));
     }
 
-    /// An endpoint is called with a request: it may refuse, fail before or after its run, or answer.
+    /// Calls an endpoint with a request: it may refuse, fail before or after the run, or answer.
     pub fn call(&mut self, number: usize, caller: u64, attempt: u64, params: &CallParams) {
         let life = self.lives[number];
         let seen = &self.callers[&caller];
@@ -97,7 +99,8 @@
         }
     }
 
-    /// The run gets every result of its last stages, each made for this request, once and in order.
+    /// Checks that a run gets every result of its last stages, each produced for this request, once
+    /// and in order.
     fn check_inputs(&self, id: &str, spec: &Route, params: &CallParams) {
         let last: Vec<usize> = spec.last_stages().collect();
         let mut expected_stages = Vec::new();
@@ -139,7 +142,7 @@
         self.at(self.now + delay, Happening::Event(number, life, Box::new(event)));
     }
 
-    /// A maker checks what it is given and makes a piece, or says why not.
+    /// Checks the inputs of a piece and produces its result, or reports why it can't.
     fn make(&mut self, endpoint: &Endpoint, params: &PieceParams) -> PieceOutcome {
         let caller =
             self.callers.values().find(|c| c.id == *params.request).expect("a client's request");
@@ -161,7 +164,7 @@
                 0 => return PieceOutcome::NoRoom,
                 1 => return PieceOutcome::Failed,
                 2 => {
-                    // What a maker loses is gone for all.
+                    // A result that an endpoint has lost is lost for all endpoints.
                     for handle in &params.inputs {
                         self.kept.remove(&**handle);
                     }
@@ -179,7 +182,7 @@
     }
 }
 
-/// A prompt with one of three shared parts, so that requests are routed by prefix.
+/// Returns a prompt with one of three shared parts, so that requests are routed by prefix.
 pub fn generation(caller: u64) -> Generation {
     let parts = vec![(format!("shared-{}", caller % 3), 500), (format!("own-{caller}"), 100)];
     Generation { prompt_tokens: 600, output_tokens: 50, parts }
--- a/tests/directenv/gateway.rs
+++ b/tests/directenv/gateway.rs
@@ -1,4 +1,4 @@
-//! One gateway's core: published documents, callers' requests, and what it decides.
+//! Helpers around one gateway core: published documents, callers' requests, and its actions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 
 use super::{address, deployment, endpoints, ms, position};
 
-/// Does nothing of what a core decides.
+/// Shell that ignores all actions of a core.
 pub struct Idle;
 
 impl Shell<GatewayCore> for Idle {
@@ -128,7 +128,7 @@
     Member { address: address(port), incarnation: 5, heartbeat: 1, state, capacity: 1_000 }
 }
 
-/// What a heartbeat says; the rest is nothing.
+/// Contents of a heartbeat; fields that are not set are empty.
 #[derive(Default)]
 pub struct Says {
     pub members: Vec<Member>,
@@ -164,7 +164,7 @@
     Says { members, complete: true, ..Says::default() }.message()
 }
 
-/// Gossip of the first of some members.
+/// Handles gossip about `members`, sent by the first of them.
 pub fn hear_of(core: &mut GatewayCore, members: Vec<Member>, now: Duration) {
     let from = members[0].address;
     let message = gossip(members);
--- a/tests/directenv/limits.rs
+++ b/tests/directenv/limits.rs
@@ -1,5 +1,5 @@
-//! A fleet of any size in virtual time before endpoints that name limits, while callers press: what reaches each of them,
-//! from all gateways together, is counted.
+//! Simulates a fleet of any size in virtual time whose endpoints announce rate limits, under steady
+//! load, and counts the messages that reach each endpoint from all gateways together.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -19,50 +19,50 @@
 use super::timeline::{Gateway, Timeline, heard};
 use super::{address, deployment, endpoint, position, route};
 
-/// Spans of that length are counted.
+/// Length of the time spans in which messages are counted.
 const SPAN: Duration = Duration::from_secs(4);
-/// Within a span, more than so many times what the limit allows, ...
+/// Within a span, more messages than the limit allows times this factor, ...
 const OVER: f64 = 1.5;
-/// ... and that, is too much.
+/// ... plus this many, are a breach.
 const SLACK: f64 = 5.0;
-/// From when the first answer tells a limit until all gateways are told.
+/// Time from the first answer that announces a limit until all gateways have received it.
 const TOLD: Duration = Duration::from_secs(2);
-/// A gateway that started, was cut off or stood still is in touch after so long.
+/// Time until a gateway that was started, cut off or suspended is in touch with the others again.
 const IN_TOUCH: Duration = Duration::from_secs(4);
 const ENDPOINTS: u16 = 4;
 const END: Duration = Duration::from_secs(26);
-/// Prompts share so many parts, which belong to one endpoint each.
+/// Number of prompt parts that requests share; each part belongs to one endpoint.
 const SHARED_PARTS: u16 = 40;
-/// Callers come from then on.
+/// Time at which the first request arrives.
 const OPENS: Duration = Duration::from_secs(2);
 
-/// Which gateways callers ask.
+/// Which gateways receive the requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Work {
-    /// All alike.
+    /// All gateways alike.
     Spread,
-    /// One.
+    /// One gateway.
     AtOne,
-    /// One after the other.
+    /// One gateway after the other.
     Moves,
 }
 
-/// A schedule's shape.
+/// Parameters of a schedule.
 #[derive(Debug, Clone, Copy)]
 pub struct Shape {
     pub gateways: usize,
     pub work: Work,
-    /// Requests a second, over all gateways.
+    /// Requests per second, over all gateways.
     pub pressure: f64,
-    /// Gateways are killed, cut off and frozen, messages lost.
+    /// Gateways are killed, cut off and suspended, and messages are lost.
     pub is_troubled: bool,
 }
 
 enum Happening {
     Event(usize, u64, Box<Event>),
-    /// A call could go out, over a connection that is up.
+    /// A call could be sent, because its connection is established.
     GoesOut(usize, u64, u64, u64, Box<CallParams>),
-    /// A call's answer is written.
+    /// The endpoint writes the answer of a call.
     Answers(usize, u64, u64, u64, Arc<Endpoint>, Duration),
     Wake(usize, u64),
     Arrival,
@@ -73,30 +73,32 @@
     Freeze(usize, Duration),
 }
 
-/// What an endpoint named.
+/// A limit that an endpoint announced.
 struct Named {
     at: Duration,
     limit: RateLimit,
-    /// When the first answer that told it was read.
+    /// When the first answer that announced the limit was read.
     told: Option<Duration>,
 }
 
-/// What was seen.
+/// Results of a schedule.
 #[derive(Debug, Default, Clone)]
 pub struct Seen {
     pub calls: usize,
     pub refused: usize,
     pub withheld: usize,
-    /// Spans that held more than allowed: endpoint, its limit, when, and how many.
+    /// Spans with more messages than allowed: endpoint, its limit, start of the span, number of
+    /// messages.
     pub breaches: Vec<(String, f64, Duration, usize)>,
-    /// Spans in which a limit held.
+    /// Number of spans in which a limit was in force.
     pub spans: usize,
-    /// What endpoints with a limit got in these spans, and what they would have taken.
+    /// Messages that endpoints with a limit received in these spans, and those that the limits
+    /// allowed.
     pub got: f64,
     pub allowed: f64,
 }
 
-/// The fleet.
+/// Gateways and endpoints of one schedule.
 pub struct Fleet {
     time: Timeline<Happening>,
     shape: Shape,
@@ -105,7 +107,7 @@
     frozen_until: Vec<Duration>,
     endpoints: Vec<Arc<Endpoint>>,
     named: BTreeMap<Name, Vec<Named>>,
-    /// When something reached each endpoint, and whether from a gateway in touch.
+    /// Arrival times of messages at each endpoint, and whether the sending gateway was in touch.
     arrived: HashMap<Name, Vec<(Duration, bool)>>,
     callers: u64,
     loss: f64,
@@ -145,14 +147,14 @@
         fleet
     }
 
-    /// An endpoint names a limit from a time on, or none.
+    /// Has an endpoint announce a limit, or none, from `at` on.
     pub fn names(&mut self, number: u16, limit: Option<f64>, at: Duration) {
         let id = self.endpoints[usize::from(number)].id.clone();
         let limit = limit.map_or(RateLimit::None, |l| RateLimit::At(RequestRate::per_second(l)));
         self.time.at(at, Happening::Names(id, limit));
     }
 
-    /// Limits that come, change, end and flap.
+    /// Plans limits that are introduced, changed, removed and that flap.
     pub fn plan_limits(&mut self) {
         for number in 0..self.time.rng.random_range(1..=ENDPOINTS) {
             let limit = |fleet: &mut Self| {
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Gateways are killed, cut off and frozen.
+    /// Plans gateways that are killed, cut off and suspended.
     pub fn plan_trouble(&mut self) {
         for _ in 0..self.time.rng.random_range(0..6) {
             let gateway = self.time.rng.random_range(0..self.gateways.len());
@@ -191,7 +193,8 @@
                 }
                 2 => self.time.at(at, Happening::Freeze(gateway, lasts)),
                 _ => {
-                    // A part of the fleet loses the rest, but no endpoints.
+                    // Part of the fleet loses contact with the other gateways, but not with the
+                    // endpoints.
                     for other in 0..self.gateways.len().div_ceil(3) {
                         self.time.at(at, Happening::Cut(other, true));
                         self.time.at(at + lasts, Happening::Cut(other, false));
@@ -208,7 +211,8 @@
         self.judge();
     }
 
-    /// Counts each span in which one limit held all the while, from when all were told.
+    /// Counts each span in which one limit was in force throughout, from when all gateways had
+    /// received it.
     fn judge(&mut self) {
         for (id, named) in &self.named {
             let arrived = self.arrived.remove(id).unwrap_or_default();
@@ -281,7 +285,7 @@
         }
     }
 
-    /// A gateway stands still: what comes meanwhile waits for it.
+    /// Suspends a gateway: events that arrive during this time wait until it resumes.
     fn freeze(&mut self, number: usize, lasts: Duration) {
         let until = self.time.now + lasts;
         self.frozen_until[number] = until;
@@ -374,7 +378,7 @@
         }
     }
 
-    /// A message between gateways: late, or lost.
+    /// Sends a message between gateways, delayed; some messages are lost.
     fn send(&mut self, from: usize, to: u16, event: Event) {
         let to = usize::from(to) - 1;
         if to >= self.gateways.len() || self.time.rng.random_bool(self.loss) {
--- a/tests/directenv/mod.rs
+++ b/tests/directenv/mod.rs
@@ -37,7 +37,7 @@
     Duration::from_millis(n)
 }
 
-/// A revision of a store that names no era.
+/// Position in a store without an era.
 pub const fn position(revision: u64) -> Position {
     Position::new(0, revision)
 }
@@ -81,7 +81,7 @@
     })
 }
 
-/// A route over the pool "engine"; `stages` as (pool, after, bytes).
+/// A route over the pool "engine"; each of `stages` is (pool, stages before it, result bytes).
 pub fn route(name: &str, repeat: Repeat, stages: &[(&str, &[usize], u64)]) -> Route {
     Route {
         name: name.into(),
@@ -143,7 +143,7 @@
     JobId { gateway: address(1), incarnation: 1, number }
 }
 
-/// A job with `pieces` in each of the route's stages.
+/// A job with `pieces` pieces in each of the route's stages.
 pub fn job(number: u64, route: &Route, pieces: usize) -> Job {
     let stages = route.stages.iter().map(|s| JobStage {
         pool: s.pool.clone(),
--- a/tests/directenv/orders.rs
+++ b/tests/directenv/orders.rs
@@ -1,5 +1,6 @@
-//! A fleet of any size in virtual time under orders to evacuate and restarts of endpoints, while callers press:
-//! what an endpoint bears that is cold, and by when an evacuated data centre gets nothing, is checked.
+//! Simulates a fleet of any size in virtual time with evacuation orders and endpoint restarts,
+//! under steady load. It checks the load of cold endpoints, and from when on an evacuated data
+//! centre gets no requests.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -17,18 +18,18 @@
 use super::timeline::{Gateway, Timeline, heard};
 use super::{deployment, endpoint, ms, position, route};
 
-/// What a cold endpoint bears a second.
+/// Requests per second that a cold endpoint handles.
 pub const BEARS: f64 = 10.0;
-/// More than that in one second, and it falls over.
+/// A cold endpoint fails when it receives more requests than this within one second.
 pub const MOST_IN_A_SECOND: usize = 20;
-/// An order is in force after so long.
+/// Time from when an order is written until it is in force.
 pub const IN_FORCE: Duration = Duration::from_secs(5);
-/// A gateway that was cut off, or started, is in touch after so long.
+/// Time until a gateway that was cut off or started is in touch with the others again.
 const IN_TOUCH: Duration = Duration::from_secs(4);
 const COLD: Duration = Duration::from_secs(3);
 const ENDPOINTS: u16 = 8;
 const DATA_CENTRES: u16 = 4;
-/// Requests a second, over all gateways.
+/// Requests per second, over all gateways.
 const PRESSURE: f64 = 300.0;
 const END: Duration = Duration::from_secs(14);
 
@@ -39,7 +40,7 @@
     Order(Name, bool),
     /// Endpoints go down, all at once.
     Down(Vec<u16>),
-    /// They are back in another life, cold.
+    /// Endpoints are up again, cold, in a new incarnation.
     Up(Vec<u16>),
     Kill(usize),
     Start(usize),
@@ -47,7 +48,7 @@
     Away(usize, bool),
 }
 
-/// What was seen.
+/// Results of a schedule.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Seen {
     pub calls: usize,
@@ -57,7 +58,7 @@
     pub late_calls: usize,
 }
 
-/// The fleet.
+/// Gateways and endpoints of one schedule.
 pub struct Fleet {
     time: Timeline<Happening>,
     gateways: Vec<Gateway>,
@@ -75,7 +76,7 @@
     pub seen: Seen,
 }
 
-/// An order, and since when it stands.
+/// The revision of an order, and since when it is in force.
 type Order = (u64, Option<Duration>);
 
 fn cold_deployment() -> Deployment {
@@ -123,7 +124,7 @@
         fleet
     }
 
-    /// Callers from two seconds on; then orders, restarts and losses.
+    /// Plans requests from two seconds on, and then orders, restarts and failures.
     fn plan(&mut self) {
         let mut at = 2.0;
         while at < END.as_secs_f64() {
@@ -278,7 +279,7 @@
         }
     }
 
-    /// The store tells a gateway, if it can, after a while.
+    /// The store publishes to a gateway that it can reach, after a delay.
     fn publish(&mut self, gateway: usize, event: Event) {
         let Gateway { is_cut, is_away, life, .. } = self.gateways[gateway];
         let after = Duration::from_micros(
@@ -359,7 +360,7 @@
         }
     }
 
-    /// A message between gateways: late, or lost.
+    /// Sends a message between gateways, delayed; some messages are lost.
     fn send(&mut self, from: usize, to: u16, event: Event) {
         let to = usize::from(to) - 1;
         if to >= self.gateways.len() || self.time.rng.random_bool(self.loss) {
@@ -385,7 +386,7 @@
         self.time.at(arrives + after, Happening::Event(number, life, Box::new(answer)));
     }
 
-    /// A request reaches an endpoint.
+    /// Records that a request reaches an endpoint.
     fn arrived(&mut self, number: usize, endpoint: &Endpoint, at: Duration) {
         self.seen.calls += 1;
         if self.cold_until.get(&endpoint.id).is_some_and(|until| at < *until) {
@@ -397,8 +398,9 @@
         self.seen.late_calls += usize::from(is_late && self.can_hear(number));
     }
 
-    /// Whether a gateway is in touch with the store, or with a peer that is. Schedule 2262 has a single gateway that
-    /// the store turns away from before an order until after its end: nobody can tell it.
+    /// Whether a gateway is in touch with the store, or with a peer that is. In schedule 2262 the
+    /// store refuses a single gateway from before an order until after its end, so that the gateway
+    /// can't receive the order.
     fn can_hear(&self, number: usize) -> bool {
         let is_in_touch = |g: &Gateway| g.core.is_some() && g.in_touch_from <= self.time.now;
         let tells = |g: &Gateway| is_in_touch(g) && !g.is_away;
--- a/tests/directenv/poison/endpoints.rs
+++ b/tests/directenv/poison/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints of the fleet: what comes to them, what ends them, and what gateways hear of it.
+//! Endpoints of the fleet: the work they receive, their crashes, and the events at the gateways.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -88,7 +88,7 @@
         }
     }
 
-    /// What a gateway hears of its call, which ended well or failed.
+    /// Reports to a gateway that its call ended, with success or a failure.
     pub(super) fn answer(&mut self, running: &Running, failure: Option<CallFailure>) {
         let event = match (&running.work, failure) {
             (Work::Request { caller, attempt }, Some(failure)) => {
@@ -146,7 +146,7 @@
         self.spread(&[gone]);
     }
 
-    /// An endpoint is back in another life, under its id.
+    /// Starts an endpoint again under its id, in a new incarnation.
     pub(super) fn back(&mut self, id: &Name) {
         self.down.remove(id);
         let before = self.endpoints[id].clone();
@@ -156,7 +156,7 @@
         self.spread(&[entry]);
     }
 
-    /// All calls of a gateway break, while the endpoints live on.
+    /// Breaks all calls of a gateway, while the endpoints stay up.
     pub(super) fn reset(&mut self, gateway: usize) {
         let mut broken = Vec::new();
         for running in self.running.values_mut() {
--- a/tests/directenv/poison/mod.rs
+++ b/tests/directenv/poison/mod.rs
@@ -1,5 +1,6 @@
-//! A fleet of any size in virtual time whose endpoints end under some requests, which come again at any gateway:
-//! how many endpoints one content ends, and who else is refused for it, is checked.
+//! Simulates a fleet of any size in virtual time in which some requests crash their endpoints and
+//! are repeated at any gateway. It checks how many endpoints one content crashes, and which other
+//! requests are refused because of it.
 
 mod endpoints;
 
@@ -18,29 +19,29 @@
 use super::timeline::{Gateway, Timeline, heard};
 use super::{deployment, endpoint, ms, position, route};
 
-/// A gateway that was cut off, or started, is in touch after so long; and so long after the third ending
-/// each gateway in touch has heard of it.
+/// Time until a gateway that was cut off or started is in touch again, and from the third crash
+/// until each gateway in touch has received the news of it.
 const IN_TOUCH: Duration = Duration::from_secs(3);
-/// Endpoints that one content may reach after that, from gateways in touch.
+/// Most endpoints that one content may reach after that from gateways in touch.
 pub const MOST_LATE: usize = 3;
-/// Endpoints that end under a content before it is refused.
+/// Endpoints that a content crashes before it is refused.
 const CONDEMNED_AFTER: usize = 3;
 const ENGINES: u16 = 24;
 const MAKERS: u16 = 8;
 const END: Duration = Duration::from_secs(24);
-/// Innocent requests a second, over all gateways.
+/// Harmless requests per second, over all gateways.
 const PRESSURE: f64 = 60.0;
 
-/// What a request holds.
+/// Content of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Content {
-    /// It ends engines.
+    /// Crashes engines.
     Poison(u64),
-    /// Its stage's pieces end makers.
+    /// The pieces of its stage crash the pool endpoints.
     StagePoison(u64),
-    /// Many callers ask it alike.
+    /// Sent by many callers.
     Hot(u64),
-    /// Nobody else asks it.
+    /// Sent by one caller only.
     Own(u64),
 }
 
@@ -57,7 +58,7 @@
     tries: u32,
 }
 
-/// Something at an endpoint.
+/// Work at an endpoint.
 #[derive(Debug, Clone)]
 enum Work {
     Request { caller: u64, attempt: u64 },
@@ -76,7 +77,7 @@
     Event(usize, u64, Box<Event>),
     Wake(usize, u64),
     Arrival(Caller),
-    /// Something comes to an endpoint's life, and ends that under what it holds.
+    /// Work arrives at an incarnation of an endpoint, and crashes it if a poison content is given.
     Begin(Name, u64, Running, Option<Content>),
     Finish(Name, u64, u64),
     Crash(Vec<Name>, Option<Content>, u64),
@@ -88,15 +89,16 @@
     Cut(usize, bool),
 }
 
-/// What was seen.
+/// Results of a schedule.
 #[derive(Debug, Default, Clone)]
 pub struct Seen {
-    /// Endpoints that ended under each poison.
+    /// Number of endpoints that each poison crashed.
     pub ended: BTreeMap<String, usize>,
-    /// Endpoints that a poison reached late, at the most.
+    /// The largest number of endpoints that one poison reached too late.
     pub most_late: usize,
     pub poison_refused: usize,
-    /// Innocents that were refused as poison after three endpoints had ended under them, ...
+    /// Harmless requests refused as poison after at least three endpoints had crashed while running
+    /// them, ...
     pub unlucky: usize,
     /// ... and after fewer.
     pub wronged: usize,
@@ -105,7 +107,7 @@
     pub shared_calls: usize,
 }
 
-/// The fleet.
+/// Gateways and endpoints of one schedule.
 pub struct Fleet {
     time: Timeline<Happening>,
     gateways: Vec<Gateway>,
@@ -117,9 +119,10 @@
     revision: u64,
     entered: BTreeMap<Name, Revised>,
     loss: f64,
-    /// When endpoints ended under each poison, and when it reached one from a gateway in touch.
+    /// When endpoints crashed under each poison, and when it reached an endpoint from a gateway in
+    /// touch.
     endings: BTreeMap<Content, Vec<Duration>>,
-    /// Endpoints that ended while a content was there, for whatever reason.
+    /// Endpoints that crashed while running a content, for whatever reason.
     ended_under: BTreeMap<Content, usize>,
     reached: BTreeMap<Content, Vec<Duration>>,
     pub seen: Seen,
@@ -211,7 +214,7 @@
         }
     }
 
-    /// A poison comes again and again, sometimes three times at once.
+    /// Plans a poison request that is repeated, sometimes three times at once.
     fn plan_poison(&mut self, number: u64) {
         let (content, is_staged) = match self.time.rng.random_range(0..3) {
             0 => (Content::Poison(number), false),
@@ -338,7 +341,7 @@
         }
     }
 
-    /// Innocent callers come again once, alike.
+    /// Callers of harmless requests repeat them once, unchanged.
     fn refused(&mut self, caller: u64, reason: &Refused) {
         let Caller { content, is_staged, tries } = self.callers[&caller];
         let is_refused = *reason == Refused::Poison;
@@ -357,7 +360,7 @@
         }
     }
 
-    /// A message between gateways: late, or lost.
+    /// Sends a message between gateways, delayed; some messages are lost.
     fn send(&mut self, from: usize, to: u16, event: Event) {
         let to = usize::from(to) - 1;
         if to >= self.gateways.len() || self.time.rng.random_bool(self.loss) {
@@ -387,7 +390,7 @@
         }
     }
 
-    /// The store tells a gateway, if it can, after a while.
+    /// The store publishes to a gateway that it can reach, after a delay.
     fn publish(&mut self, gateway: usize, event: Event) {
         let Gateway { is_cut, life, .. } = self.gateways[gateway];
         let after = self.time.time_in(4, 300);
--- a/tests/directenv/publisher.rs
+++ b/tests/directenv/publisher.rs
@@ -1,4 +1,4 @@
-//! The publisher of the world: what gateways are given of the configuration and the list of endpoints.
+//! Simulated publisher: gives the gateways the configuration and the list of endpoints.
 
 use std::sync::Arc;
 
@@ -57,13 +57,13 @@
         }
     }
 
-    /// A list with a third of the entries; the rest is written again later.
+    /// Publishes a list with a third of the entries; the others are written again later.
     pub(super) fn lapse(&mut self) {
         self.revision += 2;
         let snapshot_at = Some(position(self.revision - 1));
         let listed = self.documents().into_iter().enumerate().filter(|(i, _)| i % 3 == 0);
         let documents: Vec<Revised> = listed.map(|(_, document)| document).collect();
-        // What is written again is newer than all that was seen of the list.
+        // Entries that are written again get later revisions than all entries seen before.
         self.listed_at = self.revision;
         for number in 0..usize::from(GATEWAYS) {
             let documents = documents.clone();
--- a/tests/directenv/recount.rs
+++ b/tests/directenv/recount.rs
@@ -1,4 +1,5 @@
-//! An owner's decisions by counting over all jobs, as a check of what it keeps: slow and plain.
+//! Recomputes an owner's decisions from all jobs, slowly and simply, to check the state that the
+//! owner keeps incrementally.
 
 use std::collections::{BTreeMap, HashMap};
 use std::ops::AddAssign;
@@ -16,18 +17,18 @@
 use stackmast::policy::path::{HOLD_SLACK, StageLoad, admit_path};
 use stackmast::policy::timeline::Timeline;
 
-/// Of the time that all that is begun needs at full calls, so much stands before a newcomer.
+/// Share of the time that all started work needs in full calls that is planned ahead of a new job.
 const BEFORE_NEWCOMER: f64 = 0.3;
-/// A piece that is in a call needs so much of its time.
+/// Share of its call's time that a piece in a call still needs.
 const RUNNING_REST: f64 = 0.5;
-/// Results of that many bytes bind a piece to a data centre.
+/// Results of this many bytes bind a piece to a data centre.
 const HEAVY: u64 = 100_000;
-/// A piece waits for its data centre only with so much time to spare.
+/// A piece waits for its data centre only if it has at least this much time to spare.
 const TIME_FOR_PLACE_MS: i64 = 600;
 
 type Pieces = Vec<(JobId, usize, usize)>;
 
-/// How the two ways compare.
+/// Differences between the two computations.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Compared {
     pub states: usize,
@@ -53,13 +54,13 @@
     }
 }
 
-/// Counts anew beside an owner.
+/// Recomputes the decisions of an owner.
 #[derive(Default)]
 pub struct Recount {
     pub compared: Compared,
-    /// The decision on the job that was just submitted: whether it is admitted.
+    /// Whether the job that was just submitted is admitted.
     decided: Option<bool>,
-    /// The first call of each pool by the old way.
+    /// The first call of each pool as recomputed.
     next: HashMap<Name, Vec<(Name, usize, usize)>>,
 }
 
@@ -148,7 +149,8 @@
                 }
             }
         }
-        // A stage that is held back is looked at every 25 ms; it may be queued later, never earlier.
+        // A deferred stage is checked every 25 ms; it may be queued later than recomputed, never
+        // earlier.
         let mut queued: Vec<(JobId, usize)> =
             waiting.iter().map(|w| (w.piece.0, w.piece.1)).collect();
         queued.dedup();
@@ -209,7 +211,8 @@
         && run.remaining_time(Some(stage), now) > run.calls[stage] + HOLD_SLACK
 }
 
-/// The first call: the endpoint for the most urgent piece that fits anywhere, and what goes with it.
+/// Computes the first call: the endpoint for the most urgent piece that fits anywhere, and the
+/// pieces that are sent with it.
 fn next_batch(kept: &PoolState, spec: &BatchSpec, waiting: Vec<Waits>, table: &Table) -> Pieces {
     let place = |id: &Name| table.endpoint(id).map(|e| e.data_centre.clone()).unwrap_or_default();
     let free: Vec<(Name, u64)> = kept.free.iter().map(|(id, room)| (place(id), *room)).collect();
@@ -245,7 +248,7 @@
     let mut batch = Vec::new();
     let mut rest: Vec<usize> = (first..waiting.len()).collect();
     while let Some(index) = rest.first().copied() {
-        // The pieces of one stage go together, or not with others.
+        // The pieces of one stage are sent together, or not with pieces of other stages.
         let of = |i: &usize| (waiting[*i].piece.0, waiting[*i].piece.1, waits_for_home[*i]);
         let count = rest.iter().take_while(|i| of(i) == of(&index)).count();
         let pieces: Vec<usize> = rest.drain(..count).collect();
--- a/tests/directenv/said.rs
+++ b/tests/directenv/said.rs
@@ -1,4 +1,4 @@
-//! Gateways that hear endpoints: what these say, and what those do since.
+//! Helpers for gateways that receive endpoint status headers, and for their decisions after that.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,7 +26,7 @@
     pause(Backoff::For(time))
 }
 
-/// An endpoint in a life.
+/// An endpoint in an incarnation.
 pub fn living(service: &str, number: u16, incarnation: u64) -> Arc<Endpoint> {
     Arc::new(Endpoint { incarnation, ..(*endpoint(service, number)).clone() })
 }
@@ -66,13 +66,13 @@
     core.handle(Event::Published { documents, snapshot_at: None }, ms(at));
 }
 
-/// Where a new request goes.
+/// Returns the endpoint to which a new request is sent.
 pub fn goes_to(core: &mut GatewayCore, caller: u64, at: u64) -> Option<String> {
     let actions = submit(core, caller, incoming("r", Vec::new()), ms(at));
     calls(&actions).first().map(|(_, params)| params.endpoint.id.to_string())
 }
 
-/// Whether any of many requests, which are all answered, goes to an endpoint.
+/// Whether any of many requests, all of which are answered, is sent to an endpoint.
 pub fn gets_any(core: &mut GatewayCore, who: &str, first: u64, at: u64) -> bool {
     (first..first + 20).any(|caller| {
         let actions = submit(core, caller, incoming("r", Vec::new()), ms(at));
@@ -115,7 +115,7 @@
     core.handle(Event::PeerMessage { from: address(2), message }, ms(at))
 }
 
-/// Departures that go with a heartbeat or an answer to one.
+/// Departures that are sent with a heartbeat or with an answer to one.
 pub fn told(actions: &[Action]) -> Vec<Departure> {
     let messages = actions.iter().filter_map(|a| match a {
         Action::Broadcast { message: PeerMessage::Gossip { departures, .. }, .. }
--- a/tests/directenv/statements.rs
+++ b/tests/directenv/statements.rs
@@ -1,5 +1,5 @@
-//! Endpoints of the world that say of themselves in answers that they leave or want nothing for a while, and what no
-//! gateway may do after it has heard that.
+//! Simulated endpoints that announce in status headers that they leave or pause, and checks that no
+//! gateway violates a status that it has received.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,29 +14,29 @@
 use super::ms;
 use super::world::{BUSY, Happening, World};
 
-/// Sets the chances of what is said apart from those of everything else.
+/// Separates the random numbers for statuses from those for everything else.
 const OWN_CHANCES: u64 = 0x57a7;
-/// Of all answers so many say something.
+/// Share of all answers that carry a status.
 const SAYS: f64 = 0.15;
-/// Of these so many that their endpoint leaves.
+/// Share of these statuses that announce the departure of the endpoint.
 const LEAVES: f64 = 0.1;
 
-/// A life of a gateway, and an endpoint.
+/// A gateway, its incarnation, and an endpoint.
 type Between = (usize, u64, String);
 
-/// What endpoints said, and to which life of a gateway.
+/// Statuses that endpoints sent, and which incarnation of a gateway received them.
 pub struct Statements {
     rng: StdRng,
     leaving: BTreeSet<Between>,
     paused: BTreeMap<Between, Duration>,
-    /// Answers that said something.
+    /// Number of answers with a status.
     pub said: usize,
-    /// Messages that went to endpoints of which something had been said.
+    /// Number of messages sent to endpoints from which the gateway had received a status.
     pub checked: usize,
 }
 
 impl World {
-    /// A world whose endpoints say something of themselves.
+    /// Creates a world whose endpoints send status headers.
     pub fn with_statements(seed: u64) -> Self {
         let mut world = Self::new(seed);
         world.statements = Some(Statements {
@@ -49,7 +49,7 @@
         world
     }
 
-    /// An answer that is read at a time may say something of its endpoint.
+    /// Adds a status to some of the answers that are read at `at`.
     pub fn answers(&mut self, number: usize, endpoint: &Endpoint, asked: CallKind, at: Duration) {
         let Some(statements) = self.statements.as_mut().filter(|_| at < BUSY) else {
             return;
@@ -57,7 +57,7 @@
         if !statements.rng.random_bool(SAYS) {
             return;
         }
-        // One of each pool stays.
+        // One endpoint of each pool never leaves.
         let leaving = statements.rng.random_bool(LEAVES) && endpoint.id.ends_with("-1");
         let time = ms(statements.rng.random_range(1..2_500));
         let backoff = (!leaving).then_some(Backoff::For(time));
@@ -68,7 +68,7 @@
         self.at(at, Happening::Event(number, life, Box::new(event)));
     }
 
-    /// A gateway is about to hear an endpoint.
+    /// Records a status that a gateway is about to receive.
     pub fn hears(&mut self, number: usize, event: &Event) {
         let life = self.lives[number];
         let (Some(statements), Event::EndpointStatus { endpoint, statement, at, .. }) =
@@ -87,7 +87,7 @@
         }
     }
 
-    /// A gateway sends something: not what an endpoint said that it does not want.
+    /// Checks that a gateway sends nothing that the endpoint's last status excludes.
     pub fn check_statements(&mut self, number: usize, action: &Action) {
         let (now, life) = (self.now, self.lives[number]);
         let Some(statements) = &mut self.statements else {
--- a/tests/directenv/stops.rs
+++ b/tests/directenv/stops.rs
@@ -1,5 +1,5 @@
-//! Planned stops in the world of several gateways: runs that last about as long as a stop, and what
-//! must hold when a process ends.
+//! Planned stops of gateways: runs last about as long as a stop takes, and the guarantees at the
+//! end of a process are checked.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,39 +11,40 @@
 use super::ms;
 use super::world::{BUSY, GATEWAYS, Happening, World};
 
-/// From SIGTERM to SIGKILL.
+/// Time from SIGTERM to SIGKILL.
 pub const GRACE: Duration = Duration::from_secs(8);
-/// What is taken later after the signal is never cut by the process's end.
+/// Requests accepted later than this after the signal are never cut by the end of the process.
 const NEVER_CUT_AFTER: Duration = Duration::from_secs(3);
-/// A stopping process looks so often whether anything is in flight.
+/// Interval at which a stopping process checks whether anything is in flight.
 const LOOK: Duration = Duration::from_millis(50);
-/// Callers in a world with stops.
+/// Number of callers in a world with stops.
 const CALLERS: u64 = 160;
-/// They come within that.
+/// Time within which all callers arrive.
 const COMING: Duration = Duration::from_secs(16);
-/// So long do they wait.
+/// Timeout of a request.
 const PATIENCE: Duration = Duration::from_secs(20);
-/// Runs of one route differ by so much, which is less than what is added to the worst that was seen.
+/// The shortest run of a route as a share of the longest; the difference is smaller than the margin
+/// that is added to the longest run seen.
 const SHORTEST: f64 = 0.88;
 
-/// What was seen of the ends of stopped processes.
+/// Results about the ends of stopped processes.
 #[derive(Debug, Default)]
 pub struct Stops {
-    /// When each life of a gateway was told to stop.
+    /// When each incarnation of a gateway received the signal to stop.
     pub signals: BTreeMap<(usize, u64), Duration>,
-    /// A process ends now.
+    /// Set while a process ends.
     pub ending: bool,
     pub ended: usize,
-    /// Taken after the signal and whole before the end.
+    /// Requests accepted after the signal and completed before the end.
     pub served_late: usize,
-    /// Taken before the signal or within three seconds, and cut at the end.
+    /// Requests accepted before the signal or within three seconds after it, and cut at the end.
     pub cut: usize,
-    /// Jobs of other gateways that were not over at an owner's end.
+    /// Jobs of other gateways that were unfinished when their owner ended.
     pub jobs_left: usize,
 }
 
 impl World {
-    /// A world whose streams last for seconds and whose gateways are stopped.
+    /// Creates a world whose streams last for seconds and whose gateways are stopped.
     pub fn with_stops(seed: u64) -> Self {
         let mut world = Self::empty(seed);
         world.allowed = PATIENCE;
@@ -63,7 +64,7 @@
         world
     }
 
-    /// One, several or all are stopped, up to two seconds apart, some told twice.
+    /// Stops one, several or all gateways, up to two seconds apart, and signals some of them twice.
     fn plan_stops(&mut self) {
         let first = self.time_in(BUSY, ms(8_000));
         let count = self.rng.random_range(1..=usize::from(GATEWAYS));
@@ -79,14 +80,14 @@
         }
     }
 
-    /// How long a stream of a route lasts this time.
+    /// Returns a random length for a stream of a route.
     pub fn stream_length(&mut self, route: usize) -> Duration {
         let share =
             if self.allowed < PATIENCE { 1.0 } else { self.rng.random_range(SHORTEST..1.0) };
         self.lengths[route].mul_f64(share)
     }
 
-    /// SIGTERM.
+    /// Sends SIGTERM to a gateway.
     pub fn stop(&mut self, number: usize) {
         if self.gateways[number].is_none() {
             return;
@@ -98,7 +99,7 @@
         self.at(self.now + MIN_DURATION, Happening::LookAtStop(number, life));
     }
 
-    /// The process ends when nothing is in flight, or when it has to.
+    /// Ends the process when nothing is in flight, or when its grace period is over.
     pub fn look_at_stop(&mut self, number: usize, life: u64) {
         let Some(core) = self.gateways[number].as_ref().filter(|_| self.lives[number] == life)
         else {
@@ -113,7 +114,7 @@
         self.handle(number, Event::Shutdown);
         self.stops.ending = false;
         self.stops.ended += 1;
-        // Jobs of other gateways go on at their next owner.
+        // Jobs of other gateways continue at their next owner.
         let jobs = self.gateways[number].as_ref().map_or(0, |core| core.in_flight());
         self.stops.jobs_left += jobs;
         let mut own = self.callers.values().filter(|c| (c.gateway, c.life) == (number, life));
@@ -124,7 +125,7 @@
         self.at(back, Happening::Restart(number));
     }
 
-    /// A request got its last answer from a gateway that was told to stop.
+    /// Records the final answer of a request at a gateway that is stopping.
     pub fn answered_in_stop(&mut self, caller: u64, how: &str) {
         let seen = &self.callers[&caller];
         let Some(signal) = self.stops.signals.get(&(seen.gateway, seen.life)) else {
--- a/tests/directenv/timeline.rs
+++ b/tests/directenv/timeline.rs
@@ -1,4 +1,5 @@
-//! What fleets in virtual time have in common: what happens when, and gateways that are woken when they ask to be.
+//! Common parts of the fleets in virtual time: the queue of happenings, and gateways with their
+//! wakeups.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,10 +12,10 @@
 
 use super::{address, ms};
 
-/// The first gateways are where the others may meet.
+/// The first gateways are the seeds of all others.
 const SEEDS: u16 = 3;
 
-/// What happens, by time, and the chances of one schedule.
+/// Happenings by time, and the random numbers of one schedule.
 pub struct Timeline<H> {
     pub rng: StdRng,
     pub now: Duration,
@@ -33,12 +34,12 @@
         self.queue.insert((at, self.next), happening);
     }
 
-    /// A random time between two, in milliseconds.
+    /// Returns a random time between `from` and `to` milliseconds.
     pub fn time_in(&mut self, from: u64, to: u64) -> Duration {
         Duration::from_micros(self.rng.random_range(from * 1_000..to * 1_000))
     }
 
-    /// What happens next, before the end; it is now.
+    /// Moves the time on to the next happening before `end` and returns it.
     pub fn step(&mut self, end: Duration) -> Option<H> {
         let ((at, _), happening) = self.queue.pop_first()?;
         (at <= end).then(|| {
@@ -48,25 +49,25 @@
     }
 }
 
-/// One gateway.
+/// One gateway and its connections.
 pub struct Gateway {
     pub core: Option<GatewayCore>,
     pub life: u64,
     pub wake: Option<Duration>,
-    /// Cut off from peers and store, not from endpoints.
+    /// The gateway is cut off from peers and the store, not from endpoints.
     pub is_cut: bool,
-    /// Turned away by the store.
+    /// The store refuses the gateway.
     pub is_away: bool,
     pub in_touch_from: Duration,
 }
 
 impl Gateway {
-    /// One that was not started.
+    /// A gateway that has not been started.
     pub fn new(in_touch_from: Duration) -> Self {
         Self { core: None, life: 0, wake: None, is_cut: false, is_away: false, in_touch_from }
     }
 
-    /// Starts it in another life.
+    /// Starts the gateway in a new incarnation.
     pub fn start(&mut self, number: usize, mut setup: Setup) {
         if setup.seeds.is_empty() {
             setup.seeds = (1..=SEEDS).map(address).collect();
@@ -80,13 +81,14 @@
         }));
     }
 
-    /// Kills it.
+    /// Kills the gateway.
     pub fn kill(&mut self) {
         self.core = None;
         self.life += 1;
     }
 
-    /// Has it handle an event: what it does, and when it is to be woken, if that is earlier than planned.
+    /// Handles an event; returns the actions, and the next wakeup if it is earlier than the planned
+    /// one.
     pub fn handle(&mut self, event: Event, now: Duration) -> (Vec<Action>, Option<Duration>) {
         let Some(core) = &mut self.core else {
             return (Vec::new(), None);
@@ -99,7 +101,8 @@
     }
 }
 
-/// What other gateways hear of an action of one: the port of each, and what it hears.
+/// Converts an action of a gateway to the events at its peers: the port of each peer, and its
+/// event.
 pub fn heard(number: usize, action: Action) -> Vec<(u16, Event)> {
     let from = address(number as u16 + 1);
     let (to, message) = match action {
--- a/tests/directenv/world.rs
+++ b/tests/directenv/world.rs
@@ -1,4 +1,4 @@
-//! A world of several gateways in virtual time; every promise is checked at every step.
+//! Simulates several gateways in virtual time and checks every guarantee at every step.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, HashSet};
@@ -21,7 +21,7 @@
 
 pub const GATEWAYS: u16 = 3;
 const CALLERS: u64 = 24;
-/// Callers come within that; after it nothing fails any more.
+/// Time within which callers arrive and faults occur.
 pub const BUSY: Duration = Duration::from_secs(4);
 const END: Duration = Duration::from_secs(20);
 
@@ -32,14 +32,14 @@
     Kill(usize),
     Restart(usize),
     Drain(usize),
-    /// SIGTERM, with the process's own end some time after it.
+    /// SIGTERM; the process ends some time after it.
     Stop(usize),
     LookAtStop(usize, u64),
     Cut(usize, bool),
     Publish,
-    /// The publisher goes away for this gateway.
+    /// The publisher becomes unavailable for this gateway.
     Away(usize),
-    /// The publisher is back, and most entries have lapsed.
+    /// The publisher is available again, and most entries have expired.
     Lapse,
     Wake(usize, u64),
 }
@@ -67,32 +67,33 @@
     pub gateways: Vec<Option<GatewayCore>>,
     pub lives: Vec<u64>,
     pub cut: HashSet<usize>,
-    /// The next wake that is planned for each gateway's life.
+    /// The next planned wakeup of each gateway, and the gateway's incarnation.
     pub wakes: HashMap<usize, (Duration, u64)>,
-    /// When the last message between two gateways arrives: a connection keeps the order.
+    /// When the last message between two gateways arrives; a connection keeps the order of its
+    /// messages.
     pub last_message: HashMap<(usize, usize), Duration>,
     pub routes: Vec<Route>,
     pub revision: u64,
     pub version: u64,
     pub versions_seen: Vec<u64>,
     pub leaving: BTreeSet<String>,
-    /// The revision from which entries are that were written again.
+    /// The revision from which entries that were written again are listed.
     pub listed_at: u64,
     pub callers: BTreeMap<u64, Caller>,
-    /// Runs by the caller's id.
+    /// Number of runs by request id.
     pub runs: HashMap<String, usize>,
-    /// What each result was made for: request, stage, piece.
+    /// Request, stage and piece for which each result was produced.
     pub results: HashMap<String, (String, usize, usize)>,
-    /// Results that were made and not freed.
+    /// Results that were produced and not freed.
     pub kept: HashMap<String, Duration>,
     pub trouble: f64,
-    /// How long streams of each route last at most.
+    /// Longest duration of the streams of each route.
     pub lengths: Vec<Duration>,
-    /// How long callers wait.
+    /// Timeout of a request.
     pub allowed: Duration,
     pub end: Duration,
     pub stops: Stops,
-    /// What endpoints say of themselves, where they do.
+    /// Status headers that endpoints send; `None` if they send none.
     pub statements: Option<Statements>,
 }
 
@@ -104,7 +105,7 @@
         world
     }
 
-    /// A world before anything happens.
+    /// Creates a world without gateways and happenings.
     pub(super) fn empty(seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let graph: &[(&str, &[usize], u64)] =
@@ -240,7 +241,7 @@
             seed: self.rng.random(),
         }));
         self.versions_seen[number] = 0;
-        // Some start while the publisher is away and must learn from their peers.
+        // Some gateways start while the publisher is unavailable and must learn from their peers.
         if self.lives[number] == 1 || self.chance(0.7) {
             self.publish_to(number);
         }
--- a/tests/era_schedules.rs
+++ b/tests/era_schedules.rs
@@ -1,7 +1,9 @@
-//! Random schedules of 1 to 100 gateways before a store that comes back from older copies, in virtual time.
+//! Random schedules of 1 to 100 gateways with a store that is restored from older copies, in
+//! virtual time.
 //!
-//! Messages are late or lost; gateways are killed, cut off, or turned away by the store; endpoints leave, end and begin;
-//! versions and orders change. `STACKMAST_SCHEDULES` sets how many, `STACKMAST_SEED` the first seed.
+//! Messages are delayed or lost; gateways are killed, cut off, or refused by the store; endpoints
+//! leave, end and start; versions and orders change. `STACKMAST_SCHEDULES` sets the number of
+//! schedules, `STACKMAST_SEED` the first seed.
 
 mod directenv;
 
@@ -13,7 +15,7 @@
     std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(default)
 }
 
-/// Small fleets as well as large ones, which take longer.
+/// Mixes small fleets with large ones, which take longer to run.
 const fn gateways(seed: u64) -> usize {
     match seed % 6 {
         0 => 1,
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,4 +1,4 @@
-//! The promises under failure, with real processes and the fault proxy between them.
+//! The guarantees under failure, with real processes and the fault proxy between them.
 
 mod testenv;
 
@@ -13,7 +13,7 @@
 use test_case::test_case;
 use tokio::task::JoinHandle;
 
-/// Long enough that a failure comes in the middle: 100 steps of 3 ms.
+/// Length of a request that a failure can hit in the middle: 100 steps of 3 ms.
 const LONG: usize = 100;
 
 fn long(key: &str) -> Ask {
--- a/tests/kept_frames.rs
+++ b/tests/kept_frames.rs
@@ -1,8 +1,9 @@
-//! Messages between gateways as the last landings wrote them, kept in a file for each form (`tests/frames`): this build
-//! reads them, writes its own as they are kept, and leaves out nothing that an older one needs.
+//! Messages between gateways as earlier releases wrote them, stored in one file per form
+//! (`tests/frames`). This build reads them, writes its own form exactly as stored, and omits no
+//! field that an older build needs.
 //!
-//! Whoever changes a message: raise `FORM`, have `stackmast-testbed frames tests/frames/form-N.json` write the new file, and
-//! keep a reader of the form before, as `peers/without_eras.rs` is.
+//! To change a message: raise `FORM`, write the new file with `stackmast-testbed frames
+//! tests/frames/form-N.json`, and keep a reader of the previous form, like `peers/without_eras.rs`.
 
 use std::collections::BTreeSet;
 
@@ -12,13 +13,13 @@
 use stackmast_testbed::frames::{Frame, Frames, own};
 use test_case::test_case;
 
-/// The form of the landing before; its compact frames are read.
+/// The form of the previous release; its compact frames are read.
 const BEFORE: u32 = 5;
-/// The form of the one before that; its compact frames are read, too.
+/// The form of the release before that; its compact frames are read, too.
 const EARLIER: u32 = 4;
 /// The first form whose compact frames are read.
 const FIRST: u32 = 3;
-/// A compact frame begins with so many bytes; the number of its kind follows.
+/// Number of bytes before the message kind in a compact frame.
 const MARK_AND_FORM: usize = 2;
 
 fn kept(form: u32) -> Frames {
@@ -91,8 +92,8 @@
     }
 }
 
-/// Whether a program that reads what is `older` reads what is `newer`: it passes over fields that it does not know,
-/// and needs those that it does, in their shape.
+/// Whether a program that reads messages like `older` also reads `newer`: it ignores fields that it
+/// does not know, and needs those that it does know, in the same shape.
 fn fits(older: &Value, newer: &Value) -> Result<(), String> {
     match (older, newer) {
         (Value::Object(older), Value::Object(newer)) => {
@@ -122,7 +123,7 @@
     }
 }
 
-// The check itself: a field that lacks, or has another shape, is found at any depth.
+// Checks `fits` itself: a field that is missing or has another shape is found at any depth.
 #[test_case(r#"{"a":{"b":[{"c":1}]}}"#, r#"{"a":{"b":[{"c":1,"d":2}]}}"#, true; "more")]
 #[test_case(r#"{"a":{"b":[{"c":1}]}}"#, r#"{"a":{"b":[{"d":2}]}}"#, false; "less")]
 #[test_case(r#"{"a":{"b":[{"c":1}]}}"#, r#"{"a":{"b":[{"c":"1"}]}}"#, false; "another shape")]
--- a/tests/labels.rs
+++ b/tests/labels.rs
@@ -1,4 +1,4 @@
-//! Selectors mean what Kubernetes users expect.
+//! Selectors follow the semantics of Kubernetes.
 
 use proptest::prelude::*;
 use stackmast::config::Selector;
--- a/tests/limit_schedules.rs
+++ b/tests/limit_schedules.rs
@@ -1,7 +1,8 @@
-//! Random schedules of 1 to 100 gateways before endpoints whose limits come, change, end and flap, in virtual time.
+//! Random schedules of 1 to 100 gateways whose endpoints announce, change, end and flap rate
+//! limits, in virtual time.
 //!
-//! Messages are late or lost, gateways are killed, cut off, or stand still. `STACKMAST_SCHEDULES` sets how many,
-//! `STACKMAST_SEED` the first seed.
+//! Messages are delayed or lost; gateways are killed, cut off, or suspended. `STACKMAST_SCHEDULES`
+//! sets the number of schedules, `STACKMAST_SEED` the first seed.
 
 mod directenv;
 
@@ -61,7 +62,8 @@
     assert!(all.spans > 0 && all.withheld > 0, "the checks are not idle");
 }
 
-/// An endpoint in demand gets most of what its limit allows, and nobody is refused while others have room.
+/// An endpoint under load gets most of what its limit allows, and no request is refused while other
+/// endpoints have free capacity.
 #[test_case(1, Work::Spread, 1.0, 0.7; "one gateway")]
 #[test_case(3, Work::Spread, 1.0, 0.7; "three")]
 #[test_case(3, Work::AtOne, 2.5, 0.5; "three of which one has all the work")]
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,4 @@
-//! What operators see: the tool, the metrics, the trail of changes; and callers who misbehave.
+//! The operators' view: command-line tool, metrics and audit trail; and misbehaving callers.
 
 mod testenv;
 
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines carry a fence; an older one changes nothing.
+//! Orders to engines carry a version as a fencing token; an older order changes nothing.
 
 mod testenv;
 
@@ -29,7 +29,8 @@
 async fn an_engine_refuses_what_is_older_than_it_has_taken() {
     let mut fleet = testenv::fleet(testenv::small()).await;
     testenv::until("it is loaded", || async { !loaded(&fleet).is_empty() }).await;
-    // As if another agent's life, from a later configuration, had ordered while this one was paused.
+    // As if another incarnation of the agent, with a later configuration, had sent an order while
+    // this one was paused.
     let newer = json!({ "version": 50, "incarnation": "other", "load": ["newer@9"] });
     let address = fleet.stand_ins["llm-0"].address;
     let client = Client::default();
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,4 +1,4 @@
-//! Admission over a graph of stages: time, room over time, priorities.
+//! Admission over a graph of stages: time, result memory over time, priorities.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
     Duration::from_millis(ms)
 }
 
-/// A stage of 300 ms in an idle pool of 100 bytes, of which it needs 10.
+/// A stage of 300 ms in an idle pool with 100 bytes of result memory, of which it needs 10.
 fn stage(after: &[usize]) -> StageLoad {
     StageLoad {
         after: after.to_vec(),
--- a/tests/poison_schedules.rs
+++ b/tests/poison_schedules.rs
@@ -1,8 +1,10 @@
-//! Random schedules of 1 to 60 gateways whose endpoints end under some requests, in virtual time.
+//! Random schedules of 1 to 60 gateways in which some requests crash their endpoints, in virtual
+//! time.
 //!
-//! The poison comes again at any gateway, alone or three at a time, and ends the engines that run it, or the makers
-//! of its pieces, which share their calls with others. Endpoints end for other reasons, too, many at once;
-//! connections are reset, gateways killed and cut off, messages late or lost. `STACKMAST_SCHEDULES` sets how many,
+//! The poison is repeated at any gateway, alone or three times at once. It crashes the engines that
+//! run it, or the pool endpoints that run its pieces, which share calls with other pieces.
+//! Endpoints also crash for other reasons, many at once; connections are reset, gateways killed and
+//! cut off, messages delayed or lost. `STACKMAST_SCHEDULES` sets the number of schedules,
 //! `STACKMAST_SEED` the first seed.
 
 mod directenv;
@@ -11,14 +13,15 @@
 use test_case::test_case;
 
 const SCHEDULES: u64 = 30;
-/// So few innocents run at three endpoints that end, in a fleet that loses one of 24 each second.
+/// At most one in this many harmless requests runs at three endpoints that crash, in a fleet that
+/// loses one of 24 endpoints per second.
 const ONE_UNLUCKY_IN: usize = 10_000;
 
 fn number(name: &str, default: u64) -> u64 {
     std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(default)
 }
 
-/// Small fleets as well as large ones, which take longer.
+/// Mixes small fleets with large ones, which take longer to run.
 fn gateways(seed: u64) -> usize {
     match seed % 4 {
         0 => 1 + (seed / 4) as usize % 3,
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The decisions' parts: limits, budgets, estimates, the agent's queue.
+//! Parts of scheduling decisions: limits, budgets, estimates, the agent's queue.
 
 use std::time::Duration;
 
--- a/tests/random_schedules.rs
+++ b/tests/random_schedules.rs
@@ -1,13 +1,13 @@
-//! Random schedules of the cores: a schedule is a seed; the invariants are asserted inside the cores.
+//! Random schedules of the cores. A seed determines a schedule; the cores assert their invariants.
 //!
-//! `STACKMAST_SCHEDULES` sets how many are run, `STACKMAST_SEED` the first seed.
+//! `STACKMAST_SCHEDULES` sets the number of schedules, `STACKMAST_SEED` the first seed.
 
 mod schedules;
 
 use schedules::{Odds, World};
 use test_case::test_case;
 
-/// Schedules of each kind where the environment doesn't say.
+/// Number of schedules of each kind, unless the environment sets it.
 const SCHEDULES: u64 = 1_000;
 
 const CALM: Odds = Odds { lost: 0, doubled: 0, endpoint: 0, faults: 0 };
--- a/tests/schedules/endpoints.rs
+++ b/tests/schedules/endpoints.rs
@@ -1,4 +1,4 @@
-//! The fake endpoints: they record what they run, and fail in every way.
+//! Fake endpoints: they record their runs, and fail in every way.
 
 use std::time::Duration;
 
@@ -71,7 +71,7 @@
                 let failure = match self.rng.random_range(0..4) {
                     0 => EndpointFailure::Failed,
                     1 => EndpointFailure::Misbehaved,
-                    // It stalls.
+                    // The call stalls.
                     2 => return,
                     _ => EndpointFailure::Cut,
                 };
--- a/tests/schedules/mod.rs
+++ b/tests/schedules/mod.rs
@@ -28,28 +28,28 @@
 
 pub const GATEWAYS: usize = 2;
 pub const AGENTS: usize = 4;
-/// Agents from this one on stand beside engines.
+/// Agents from this index on serve engines.
 const FIRST_ENGINE: usize = 2;
 const FIRST_PORT: u16 = 1_000;
 const REQUESTS: usize = 8;
 /// The stages, and whether each may be repeated.
 const STAGES: [(&str, bool); 3] = [("encode", true), ("book", false), ("generate", true)];
 const DEADLINE: Duration = Duration::from_secs(2);
-/// Nothing of a schedule lasts longer.
+/// Latest time of a schedule.
 const END: Duration = Duration::from_secs(40);
 const REVOKE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How often things go wrong, in thousandths of the chances that they have.
+/// Probabilities of faults, in thousandths.
 #[derive(Debug, Clone, Copy)]
 pub struct Odds {
     pub lost: u32,
     pub doubled: u32,
     pub endpoint: u32,
-    /// Kills, freezes, drains and cuts in one schedule.
+    /// Number of kills, freezes, drains and cuts in one schedule.
     pub faults: u32,
 }
 
-/// One call of a gateway's, known to its agent by its position in the list of calls.
+/// One call of a gateway; its index in the list of calls is its id at the agent.
 #[derive(Debug, Clone)]
 struct Call {
     gateway: usize,
@@ -57,7 +57,7 @@
     number: u64,
     attempt: AttemptId,
     agent: usize,
-    /// Replies don't get through any more; of a doubled message's call they never did.
+    /// Replies no longer reach the gateway; for the call of a duplicated message they never did.
     broken: bool,
 }
 
@@ -102,7 +102,7 @@
     submission: Submission,
     request: history::Request,
     answered_at: Option<Timestamp>,
-    /// Until when its gateway had been frozen when it answered.
+    /// Until when the gateway was frozen at the time of its answer.
     frozen_until: Timestamp,
 }
 
@@ -168,7 +168,7 @@
     }
 }
 
-/// What a stage makes of its input: the key in front, so that a mix-up shows.
+/// Output of a stage: starts with the request's key, so that mixed-up requests are detected.
 fn output(stage: &str, input: &str) -> String {
     let key = input.split('|').next().unwrap_or_default();
     let digest = xxhash_rust::xxh3::xxh3_64(input.as_bytes());
@@ -293,13 +293,14 @@
         self.steps.insert(self.next_step, step);
     }
 
-    /// After a network's delay, which is seldom long; messages overtake each other.
+    /// Schedules a step after a network delay, which is seldom long; messages may overtake each
+    /// other.
     fn soon(&mut self, step: Step) {
         let delay = if self.happens(20) { self.millis(50, 800) } else { self.millis(0, 3) };
         self.at(self.now + delay, step);
     }
 
-    /// Runs the schedule to its end and returns every promise that it broke.
+    /// Runs the schedule to its end and returns every violated guarantee.
     pub fn run(&mut self) -> Vec<String> {
         while let Some(Reverse((at, id))) = self.order.pop() {
             if at > END {
@@ -313,12 +314,12 @@
         self.breaches()
     }
 
-    /// Steps of this schedule.
+    /// Number of steps scheduled so far.
     pub fn steps_taken(&self) -> u64 {
         self.next_step
     }
 
-    /// Final answers that were whole.
+    /// Number of complete final answers.
     pub fn whole(&self) -> usize {
         let whole = |a: &&Asked| matches!(a.request.seen.first(), Some(Seen::Whole(_)));
         self.asked.iter().filter(whole).count()
@@ -368,7 +369,7 @@
         }
     }
 
-    /// Both sides learn of it, each in its own time.
+    /// Both sides learn of the broken call, each after its own delay.
     fn break_call(&mut self, i: usize) {
         self.calls[i].broken = true;
         let Call { gateway, life, number, attempt, agent, .. } = self.calls[i].clone();
@@ -387,7 +388,7 @@
             return self.at(at, Step::Gateway { index, life, event });
         }
         if let gateway::Event::Submit { caller, .. } = event {
-            // A frozen gateway takes its callers' requests in when it wakes up.
+            // A frozen gateway accepts its callers' requests when it resumes.
             self.asked[caller as usize].at = self.now;
         }
         for action in self.gateways[index].core.handle(event, self.now) {
--- a/tests/schedules/network.rs
+++ b/tests/schedules/network.rs
@@ -1,4 +1,4 @@
-//! The fake network: what cores have sent comes late, twice, out of order, or not at all.
+//! Fake network: delivers messages late, twice, out of order, or not at all.
 
 use rand::RngExt;
 
@@ -54,7 +54,7 @@
         let call = Call { gateway, life, number, attempt, agent, broken: false };
         let i = self.calls.len();
         self.calls.push(call.clone());
-        // Lost on the way, or after it was delivered: the gateway can't tell which.
+        // Lost before or after the delivery: the gateway can't tell which.
         let lost = self.happens(self.odds.lost);
         if !lost || self.rng.random_bool(0.5) {
             let message = ToAgent::Run(CallId(i as u64), run.clone());
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are checked as a whole, every error at once.
+//! Settings are checked completely; all errors are reported at once.
 
 use std::process::Command;
 
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -1,4 +1,4 @@
-//! A configuration is in force everywhere within seconds, and never reverts.
+//! A new configuration is in force everywhere within seconds, and is never reverted.
 
 mod testenv;
 
--- a/tests/story.rs
+++ b/tests/story.rs
@@ -1,4 +1,4 @@
-//! A request's story out of the lines of many processes.
+//! Reconstructs the history of a request from the log lines of many processes.
 
 use stackmast::story::story;
 
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! A request goes through all stages, each beside its endpoint, and the whole answer comes back.
+//! A request passes all stages, each at its endpoint, and the caller gets the complete answer.
 
 mod testenv;
 
