--- a/tests/config.rs
+++ b/tests/config.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_good_configuration_has_no_findings() {
+fn a_valid_configuration_has_no_findings() {
     assert_eq!(check(&config(|_| ())), []);
 }
 
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn finds_everything_at_once() {
+fn all_findings_are_reported_together() {
     let config = config(|c| {
         c["pipelines"][0]["deadline_ms"] = json!(0);
         c["endpoints"][0]["concurrency"] = json!(0);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn parts_fit_the_platform_and_make_the_same_configuration() {
+fn parts_fit_the_size_limit_and_join_to_the_same_configuration() {
     let config = many(10_000);
     let bundle = split(&config).expect("it is split");
     assert!(bundle.parts.values().all(|part| part.len() <= MAX_PART_LEN));
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn members_of_unchanged_parts_are_shared_with_the_configuration_before() {
+fn members_of_unchanged_parts_are_shared_with_the_previous_configuration() {
     let mut config = many(1_000);
     let first = join(&split(&config).expect("it is split"), None).expect("it is whole");
     std::sync::Arc::make_mut(&mut config.organisations[7]).labels.clear();
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn differences_have_the_names_of_what_changed() {
+fn differences_name_the_changed_members() {
     let before = config(|_| ());
     let after = config(|c| {
         c["version"] = json!(2);
@@ -151,12 +151,12 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_a_configuration_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn any_bytes_parse_or_are_refused(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         serde_json::from_slice::<Config>(&bytes).ok();
     }
 
     #[test]
-    fn a_document_with_something_else_in_one_place_is_checked_or_refused(
+    fn a_document_with_one_replaced_value_is_checked_or_refused(
         place in 0..12_usize,
         value in prop_oneof![
             Just(json!(null)), Just(json!(-1)), Just(json!(1e308)), Just(json!("")), Just(json!([])),
--- a/tests/direct_backoff.rs
+++ b/tests/direct_backoff.rs
@@ -19,7 +19,7 @@
 use test_case::test_case;
 
 #[test]
-fn a_pause_holds_for_its_time_and_is_told_to_no_other_gateway() {
+fn a_pause_lasts_as_announced_and_is_not_sent_to_other_gateways() {
     let mut core = configured(routes());
     hear(&mut core, Vec::new(), 5);
     let actions = says(&mut core, &engine(1), pause_for(ms(3 * SECONDS)), 10);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_pause_is_neither_shortened_by_what_is_answered_meanwhile_nor_ended_by_success() {
+fn a_pause_is_neither_shortened_by_later_answers_nor_ended_by_success() {
     let mut core = configured(routes());
     let actions = submit(&mut core, 1, incoming("r", Vec::new()), ms(0));
     let (attempt, params) = calls(&actions)[0].clone();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn another_life_has_asked_for_no_pause() {
+fn a_new_incarnation_is_not_paused() {
     let mut core = configured(routes());
     enter(&mut core, &living("engine", 1, 7), 50, 5);
     says(&mut core, &living("engine", 1, 7), pause_for(ms(9 * SECONDS)), 10);
@@ -63,7 +63,7 @@
 #[test_case(Backoff::Unclear, 1_000, 1_250; "no number")]
 #[test_case(Backoff::For(Duration::from_secs(30)), 30_000, 31_000; "long")]
 #[test_case(Backoff::For(Duration::MAX), 3_600_000, 3_601_000; "absurd")]
-fn any_time_that_is_asked_for_has_an_end(backoff: Backoff, from_ms: u64, to_ms: u64) {
+fn every_pause_is_bounded(backoff: Backoff, from_ms: u64, to_ms: u64) {
     for gateway in 1..50 {
         let mut known = Backoffs::new(address(gateway));
         known.record(&engine(1), backoff, ms(5));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_pause_counts_from_when_its_answer_was_read() {
+fn a_pause_starts_when_its_answer_is_read() {
     let mut core = configured(routes());
     let statement = pause_for(ms(2 * SECONDS));
     let (endpoint, asked) = (engine(1), CallKind::Request);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn where_all_want_nothing_the_rest_is_refused_at_once_with_the_true_time() {
+fn when_all_endpoints_pause_requests_are_refused_with_the_end_of_the_pause() {
     let mut core = configured(routes());
     says(&mut core, &engine(1), pause_for(ms(8 * SECONDS)), 0);
     says(&mut core, &engine(2), pause_for(ms(4 * SECONDS)), 0);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn when_pauses_end_endpoints_are_filled_by_degrees() {
+fn load_grows_by_steps_after_a_pause() {
     let mut core = configured(routes());
     // Both endpoints announce a pause with a successful answer, and refuse nothing later.
     for caller in 1..=2 {
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn what_was_there_before_a_pause_makes_no_way_after_it() {
+fn answers_to_calls_before_a_pause_do_not_raise_the_load_after_it() {
     let mut core = configured(routes());
     says(&mut core, &engine(2), LEAVES, 0);
     let mut before = Vec::new();
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_first_request_after_a_pause_that_is_turned_away_begins_the_next_pause() {
+fn a_refusal_of_the_first_request_after_a_pause_starts_the_next_pause() {
     let mut core = configured(routes());
     says(&mut core, &engine(2), LEAVES, 0);
     for round in 0..3 {
@@ -174,7 +174,7 @@
 
 #[test_case("r", false; "a request that may run again")]
 #[test_case("again", true; "a stream that goes on elsewhere")]
-fn repeats_and_resumed_streams_keep_away(name: &str, streams: bool) {
+fn repeats_and_resumed_streams_avoid_paused_endpoints(name: &str, streams: bool) {
     let mut core = configured(routes());
     let actions = submit(&mut core, 1, incoming(name, Vec::new()), ms(0));
     let (attempt, params) = calls(&actions)[0].clone();
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn what_was_ordered_and_did_not_go_out_goes_elsewhere_without_blame() {
+fn a_withheld_call_goes_to_another_endpoint_without_suspicion() {
     let mut core = configured(routes());
     let actions = submit(&mut core, 1, incoming("r", Vec::new()), ms(0));
     let (attempt, params) = calls(&actions)[0].clone();
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn an_endpoint_that_wants_nothing_is_probed_after_its_pause() {
+fn a_paused_endpoint_is_probed_after_its_pause() {
     let mut core = configured(routes());
     let actions = submit(&mut core, 1, incoming("r", Vec::new()), ms(0));
     let (attempt, params) = calls(&actions)[0].clone();
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn gateways_differ_in_what_they_add_to_a_pause() {
+fn gateways_add_different_jitter_to_a_pause() {
     let ends = |port| {
         let mut known = Backoffs::new(address(port));
         known.record(&engine(1), Backoff::For(ms(4 * SECONDS)), ms(0))
--- a/tests/direct_bulk.rs
+++ b/tests/direct_bulk.rs
@@ -79,14 +79,14 @@
 }
 
 #[tokio::test]
-async fn a_configuration_comes_whole() {
+async fn a_configuration_is_transferred_completely() {
     let (core, at) = gateway().await;
     sender().send(at, configuration(2));
     assert!(has(&core, 2).await);
 }
 
 #[tokio::test]
-async fn a_receiver_that_takes_nothing_keeps_others_waiting_for_a_moment_only() {
+async fn stalled_receivers_delay_others_only_briefly() {
     let peers = sender();
     let mut frozen = Vec::new();
     for _ in 0..2 {
@@ -107,7 +107,7 @@
 }
 
 #[tokio::test]
-async fn a_chunk_that_stalls_or_is_torn_ends_its_transfer_and_no_other() {
+async fn a_stalled_or_torn_chunk_ends_only_its_own_transfer() {
     let (core, at) = gateway().await;
     let mut torn = hello(at, true).await;
     torn.write_u32(16_000).await.expect("a length");
@@ -122,7 +122,7 @@
 }
 
 #[tokio::test]
-async fn a_newer_transfer_of_a_peer_replaces_the_older() {
+async fn a_newer_transfer_from_a_peer_replaces_the_older_one() {
     let (core, at) = gateway().await;
     let mut older = hello(at, true).await;
     write(&mut older, b"{").await;
@@ -134,7 +134,7 @@
 }
 
 #[tokio::test]
-async fn a_message_of_another_version_of_the_program_is_passed_over() {
+async fn an_unknown_message_of_another_version_is_ignored() {
     let (core, at) = gateway().await;
     let mut stream = hello(at, false).await;
     write(&mut stream, br#"{"Tomorrow":{"more":1}}"#).await;
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_pull_of_an_older_program_is_read() {
+fn a_pull_from_an_older_version_is_read() {
     let pull = r#"{"Pull":{"seen":{"version":1,"endpoints":2}}}"#;
     let read: Result<PeerMessage, _> = serde_json::from_str(pull);
     assert!(matches!(read, Ok(PeerMessage::Pull { configuration: false, .. })), "{read:?}");
--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_cell_that_is_alone_has_all_endpoints_and_others_their_own() {
+fn a_single_cell_has_all_endpoints_and_each_of_several_its_own() {
     let small = table(&[5, 4, 4]);
     assert!(small.cells().contains("stages", "dc-2"));
     let large = table(&[10, 10, 10]);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn no_host_owns_two_cells_while_another_one_is_as_strong() {
+fn no_host_owns_two_cells_while_an_equally_strong_one_owns_none() {
     let cells = cells(6);
     let owners: BTreeSet<u16> = firsts(&members(40, 9), &cells).into_iter().collect();
     assert_eq!(owners.len(), 6);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn where_strong_hosts_are_few_they_own_several_cells() {
+fn few_strong_hosts_own_several_cells_each() {
     let cells = cells(6);
     let owners: BTreeSet<u16> = firsts(&members(40, 3), &cells).into_iter().collect();
     assert_eq!(owners, BTreeSet::from([2, 3]));
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn pieces_of_a_cell_are_made_by_its_endpoints_and_results_find_their_job() {
+fn pieces_of_a_cell_run_at_its_endpoints_and_results_reach_their_job() {
     let table = table(&[10, 10, 10]);
     let mut owners = Owners::new(address(1), bounds());
     owners.submit(job_of(1, "stages/dc-1"), &table, ms(0));
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_job_that_its_cell_refuses_is_submitted_to_one_other_cell() {
+fn a_job_refused_by_its_cell_is_submitted_to_one_other_cell() {
     let mut core = before_cells();
     let actions = submit(&mut core, 1, incoming("r", vec![1, 1]), ms(10));
     let (owner, first) = submitted(&actions)[0].clone();
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn where_all_other_cells_refused_a_moment_ago_the_caller_is_told_at_once() {
+fn when_all_cells_have_just_refused_the_caller_is_refused_at_once() {
     let mut core = before_cells();
     for caller in 1..=40 {
         let actions = submit(&mut core, caller, incoming("r", vec![1, 1]), ms(10));
--- a/tests/direct_codec.rs
+++ b/tests/direct_codec.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn both_forms_are_read_as_what_was_written() {
+fn messages_round_trip_in_both_encodings() {
     for message in messages() {
         for frame in both_forms(&message) {
             assert_eq!(read(&frame, FORM).as_ref(), Ok(&message));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn what_is_none_is_passed_over() {
+fn invalid_frames_are_unreadable() {
     let unread = Err(Unreadable::Message { job: None });
     for frame in [&b""[..], b"{", b"\"Nonsense\"", &[200, 1, 2], &[0, 255], &[0xc1], &[0xc1, 4]] {
         assert_eq!(read(frame, FORM), unread, "{frame:?}");
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_form_that_is_not_known_is_not_guessed_at() {
+fn frames_of_unknown_forms_are_rejected() {
     let [compact, _] = both_forms(&heartbeat(3));
     // The same bytes marked as a later form, or unmarked after a greeting of an earlier one.
     let mut later = compact.to_vec();
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn builds_before_the_mark_pass_marked_frames_over() {
+fn builds_before_the_form_mark_reject_marked_frames() {
     for message in messages() {
         let [compact, _] = both_forms(&message);
         assert!(postcard::from_bytes::<PeerMessage>(&compact).is_err());
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn of_a_submission_that_is_not_read_the_job_is_known() {
+fn an_unreadable_submission_yields_its_job_id() {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10)]);
     let job = job(1, &route, 3);
     let mut written =
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_compact_heartbeat_has_a_fifth_of_the_bytes() {
+fn a_compact_heartbeat_is_at_most_a_fifth_of_json() {
     let [compact, json] = both_forms(&heartbeat(103)).map(|frame| frame.len());
     println!("{compact} bytes compact, {json} as JSON");
     assert!(compact * 5 <= json, "{compact} and {json}");
--- a/tests/direct_cold.rs
+++ b/tests/direct_cold.rs
@@ -61,7 +61,7 @@
 #[test_case(21)]
 #[test_case(103)]
 #[test_case(580)]
-fn any_number_of_gateways_that_press_send_about_what_is_borne(gateways: u16) {
+fn gateways_under_load_together_respect_the_cold_limit(gateways: u16) {
     for spread_ms in [0, 300, 1_000] {
         let sent = sent(gateways, spread_ms);
         let in_second = |from: &Duration| {
@@ -77,7 +77,7 @@
 #[test_case(1)]
 #[test_case(21)]
 #[test_case(103)]
-fn turns_that_nobody_used_are_not_used_at_once(gateways: u16) {
+fn unused_turns_are_not_used_all_at_once(gateways: u16) {
     let (table, endpoint) = (table(), cold(1, 3_000));
     let mut sent = 0;
     for gateway in 1..=gateways {
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_gateway_that_has_just_started_sends_nothing_to_what_is_cold() {
+fn a_starting_gateway_sends_nothing_to_cold_endpoints() {
     let (table, endpoint) = (table(), cold(1, 3_000));
     let mut known = ColdEndpoints::new(address(1));
     // The entry may arrive before the configuration.
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn what_must_wait_for_a_cold_endpoint_goes_to_another() {
+fn requests_over_the_cold_limit_go_to_another_endpoint() {
     let mut core = core(&[cold(1, 3_000)]);
     let mut to_cold = 0;
     for caller in 1..=100u64 {
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn where_all_are_cold_the_rest_is_refused_at_once_with_a_time() {
+fn when_all_endpoints_are_cold_excess_requests_are_refused_with_a_retry_time() {
     let mut core = core(&[cold(1, 3_000), cold(2, 3_000)]);
     let mut served = 0;
     for caller in 1..=100u64 {
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn what_could_not_be_reached_is_taken_for_cold_when_it_is_back() {
+fn an_endpoint_that_was_unreachable_is_treated_as_cold() {
     let mut core = core(&[]);
     let press = |core: &mut GatewayCore, first: u64, at: u64| {
         let mut attempts = Vec::new();
--- a/tests/direct_come_back.rs
+++ b/tests/direct_come_back.rs
@@ -68,14 +68,14 @@
 #[test_case(&[Other::Dead(500)], 1_000, 700; "another one has just ended")]
 #[test_case(&[Other::Leaving(-1_000), Other::Dead(900)], 1_000, 1_100; "one ended and one leaves")]
 #[test_case(&[Other::Leaving(-1_000), Other::Serving(-5_000)], 1_000, 100; "one leaves and one serves")]
-fn callers_come_back_when_a_gateway_is_expected(others: &[Other], now: i64, expected: u64) {
+fn callers_retry_when_a_gateway_is_expected_to_serve(others: &[Other], now: i64, expected: u64) {
     assert_eq!(come_back(others, now), ms(expected));
 }
 
 // A host that failed long before the stop doesn't show that a gateway serves again soon.
 #[test_case(10_000; "ten seconds ago")]
 #[test_case(50_000; "fifty seconds ago")]
-fn a_gateway_that_is_long_dead_is_not_expected_back_at_once(ago: i64) {
+fn a_gateway_that_failed_long_ago_is_not_expected_back_soon(ago: i64) {
     let signal = Duration::from_secs(100);
     let mut members = Members::new(address(1), 1, 1_000, Vec::new());
     let lost = signal - ms(ago as u64);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn nobody_is_told_to_wait_for_longer_than_the_process_itself_needs() {
+fn retry_times_are_bounded_by_the_restart_of_the_process_itself() {
     let mut rng = StdRng::seed_from_u64(1);
     for _ in 0..5_000 {
         let others: Vec<Other> = (0..rng.random_range(0..6)).map(|_| any_other(&mut rng)).collect();
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn where_all_leave_nobody_comes_back_before_one_can_have_started_again() {
+fn when_all_gateways_leave_callers_wait_for_a_restart() {
     let mut rng = StdRng::seed_from_u64(2);
     for _ in 0..2_000 {
         let now = rng.random_range(0..8_000);
--- a/tests/direct_departures.rs
+++ b/tests/direct_departures.rs
@@ -27,7 +27,7 @@
 #[test_case(CallKind::Pieces)]
 #[test_case(CallKind::Report)]
 #[test_case(CallKind::Free)]
-fn an_endpoint_that_leaves_gets_no_new_work_whatever_its_answer_was_to(asked: CallKind) {
+fn a_leaving_endpoint_gets_no_new_work_whatever_call_it_answered(asked: CallKind) {
     let mut core = configured(routes());
     assert!(gets_any(&mut core, "engine-1", 1, 10));
     let event = Event::EndpointStatus {
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn nothing_that_the_list_says_of_the_same_life_takes_it_back() {
+fn list_entries_of_the_same_incarnation_do_not_end_a_departure() {
     let mut core = configured(routes());
     says(&mut core, &engine(1), LEAVES, 10);
     // An entry that was written late, or by a store that had lost a response.
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_configuration_or_an_order_that_is_taken_back_does_not_take_it_back() {
+fn a_configuration_or_a_withdrawn_order_does_not_end_a_departure() {
     let mut core = configured(routes());
     says(&mut core, &engine(1), LEAVES, 10);
     publish(&mut core, deployment(9, routes()), ms(20));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn another_life_takes_work_again_and_leaves_by_its_own_word_only() {
+fn a_new_incarnation_gets_work_until_it_announces_its_own_departure() {
     let mut core = configured(routes());
     enter(&mut core, &living("engine", 1, 7), 50, 5);
     says(&mut core, &living("engine", 1, 7), LEAVES, 10);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn an_answer_that_came_before_the_entry_counts_once_it_is_entered() {
+fn a_departure_received_before_the_list_entry_applies_once_it_is_listed() {
     let mut core = configured(routes());
     says(&mut core, &living("engine", 1, 9), LEAVES, 10);
     assert!(gets_any(&mut core, "engine-1", 100, 20), "that was another life");
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn gateways_tell_each_other_with_two_heartbeats() {
+fn a_departure_is_sent_with_two_heartbeats() {
     let mut core = configured(routes());
     hear(&mut core, Vec::new(), 10);
     says(&mut core, &engine(1), LEAVES, 20);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn what_the_list_tells_is_not_told_once_more() {
+fn a_departure_in_the_list_is_not_sent_again() {
     let mut core = configured(routes());
     hear(&mut core, Vec::new(), 10);
     says(&mut core, &engine(1), LEAVES, 20);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_gateway_that_starts_is_told_at_once() {
+fn a_starting_gateway_gets_known_departures_at_once() {
     let mut core = configured(routes());
     says(&mut core, &engine(1), LEAVES, 10);
     (1..8).for_each(|beat| drop(core.handle(Event::Tick, ms(beat * 250))));
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_peer_tells_of_one_life_only() {
+fn a_departure_from_a_peer_applies_to_its_incarnation_only() {
     let mut core = configured(routes());
     enter(&mut core, &living("engine", 1, 9), 50, 5);
     hear(&mut core, vec![departure("engine", 1, 7)], 10);
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_standstill_changes_nothing_of_it() {
+fn a_suspension_does_not_end_a_departure() {
     let mut core = configured(routes());
     says(&mut core, &engine(1), LEAVES, 10);
     says(&mut core, &engine(2), pause_for(ms(3 * SECONDS)), 10);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn load_that_another_endpoint_tells_at_the_address_is_not_believed() {
+fn load_reported_by_another_endpoint_at_the_address_is_ignored() {
     let mut core = configured(routes());
     let actions = submit(&mut core, 1, incoming("r", Vec::new()), ms(0));
     let (attempt, order) = calls(&actions)[0].clone();
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn what_is_known_is_bounded() {
+fn departures_and_backoffs_are_bounded() {
     let mut departures = Departures::default();
     let mut backoffs = Backoffs::new(address(1));
     for number in 0..6_000u64 {
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_life_that_is_listed_is_not_forgotten() {
+fn the_departure_of_a_listed_incarnation_does_not_expire() {
     let mut core = configured(routes());
     says(&mut core, &engine(1), LEAVES, 10);
     for minute in 1..40 {
--- a/tests/direct_eras.rs
+++ b/tests/direct_eras.rs
@@ -58,13 +58,13 @@
 }
 
 #[test]
-fn a_position_of_a_later_era_comes_after_all_of_an_earlier_one() {
+fn a_position_of_a_later_era_is_after_all_of_an_earlier_one() {
     assert!(after(1) > before(1_000));
     assert!(after(2) > after(1));
 }
 
 #[test]
-fn an_era_is_news_once_and_earlier_ones_are_not() {
+fn an_era_is_new_once_and_earlier_eras_never() {
     let mut eras = Eras::default();
     assert_eq!(eras.observe(4).map(|new| new.before), Some(None));
     assert!(eras.observe(4).is_none() && eras.observe(3).is_none());
@@ -74,7 +74,7 @@
 
 // Builds without eras send revisions without an era.
 #[test]
-fn bare_revisions_are_of_the_only_era_and_older_than_all_after_it() {
+fn revisions_without_an_era_belong_to_the_first_known_era() {
     let mut eras = Eras::default();
     eras.observe(BEFORE);
     assert_eq!(eras.resolve(Position::new(0, 7)), before(7));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn what_is_late_from_an_earlier_era_changes_nothing() {
+fn late_documents_of_an_earlier_era_are_ignored() {
     let mut documents = listed(1, false);
     documents.merge_list(vec![entry(living(1, true), after(20), 10)], after(20), ms(10));
     let late =
@@ -96,7 +96,10 @@
 
 #[test_case(1, 1; "the life that left goes on leaving")]
 #[test_case(2, 0; "another life is believed")]
-fn no_life_that_leaves_stays_because_a_copy_says_so(incarnation: u64, leaving_on: usize) {
+fn a_restored_entry_does_not_end_the_departure_of_its_incarnation(
+    incarnation: u64,
+    leaving_on: usize,
+) {
     let mut documents = listed(1, true);
     let copied = entry(living(incarnation, false), after(30), 10);
     let merged = documents.merge_list(vec![copied], after(40), ms(10));
@@ -104,7 +107,7 @@
 }
 
 #[test]
-fn who_left_and_is_gone_goes_on_leaving_when_a_copy_brings_it_back() {
+fn an_endpoint_removed_while_leaving_is_still_leaving_when_restored() {
     let mut documents = listed(1, true);
     documents.merge(vec![gone(before(95))], ms(5));
     let copied = entry(living(1, false), after(30), 10);
@@ -117,7 +120,7 @@
 #[test_case(1, 120, 10, true; "written again")]
 #[test_case(1, 41, 41, true; "created anew")]
 #[test_case(2, 41, 10, true; "in another life")]
-fn what_was_gone_and_a_copy_brings_back_is_believed_once_it_is_written_again(
+fn a_removed_entry_that_a_copy_restores_is_valid_once_written_again(
     incarnation: u64,
     revision: u64,
     made: u64,
@@ -136,7 +139,7 @@
 }
 
 #[test]
-fn what_a_copy_brought_back_is_gone_when_its_entry_goes_again() {
+fn a_restored_entry_is_removed_when_it_is_deleted_again() {
     let mut documents = listed(1, false);
     documents.merge(vec![gone(before(95))], ms(5));
     documents.merge_list(vec![entry(living(1, false), after(80), 10)], after(85), ms(10));
@@ -146,7 +149,7 @@
 }
 
 #[test]
-fn what_a_copy_brought_back_and_a_later_list_lacks_is_gone() {
+fn a_restored_entry_missing_from_a_later_list_is_removed() {
     let mut documents = listed(1, false);
     documents.merge(vec![gone(before(95))], ms(5));
     documents.merge_list(vec![entry(living(1, false), after(80), 10)], after(85), ms(10));
@@ -158,7 +161,7 @@
 #[test_case(10, EntryState::Removed; "the copy had it, so it was taken away since")]
 #[test_case(60, EntryState::Expired; "it was created after the copy")]
 #[test_case(0, EntryState::Expired; "nobody knows when it was created")]
-fn what_a_copy_lacks_is_used_until_it_was_due_to_be_written_again(made: u64, state: EntryState) {
+fn an_entry_missing_from_the_copy_is_used_until_its_renewal_is_due(made: u64, state: EntryState) {
     let mut documents = Documents::default();
     let known = entry(living(1, false), before(80), made);
     documents.merge_list(vec![known], before(90), ms(0));
@@ -172,7 +175,7 @@
 }
 
 #[test]
-fn what_a_copy_lacks_and_nobody_writes_again_is_gone() {
+fn an_entry_missing_from_the_copy_is_removed_unless_renewed() {
     let mut documents = listed(1, false);
     documents.merge_list(Vec::new(), after(5), ms(10));
     assert_eq!(entry_state(&documents), EntryState::Expired);
@@ -181,7 +184,7 @@
 }
 
 #[test]
-fn a_second_copy_counts_as_the_first() {
+fn a_second_restore_is_handled_like_the_first() {
     let mut documents = listed(1, false);
     documents.merge_list(vec![entry(living(1, false), after(20), 10)], after(25), ms(100));
     let merged = documents.merge_list(
@@ -226,7 +229,7 @@
 }
 
 #[test]
-fn whoever_follows_the_store_is_told_of_an_era_that_a_peer_names() {
+fn an_era_announced_by_a_peer_is_passed_on_to_the_store_readers() {
     let mut core = new_core();
     publish(&mut core, 3, before(90), 0);
     let actions = core.handle(beat(1, Says { era: AFTER, ..Says::default() }), ms(500));
@@ -254,7 +257,7 @@
 }
 
 #[test]
-fn a_gateway_that_the_store_turns_away_takes_the_whole_list_of_an_era_from_a_peer() {
+fn a_gateway_refused_by_the_store_gets_the_complete_list_from_a_peer() {
     let mut core = new_core();
     publish(&mut core, 3, before(90), 0);
     let seen = Seen { version: 3, endpoints: after(40) };
@@ -282,7 +285,7 @@
 }
 
 #[test]
-fn a_peer_in_an_earlier_era_is_given_all() {
+fn a_peer_in_an_earlier_era_gets_all_entries() {
     let mut core = new_core();
     publish(&mut core, 3, after(40), 0);
     let pull = |endpoints| {
@@ -306,7 +309,7 @@
 }
 
 #[test]
-fn no_configuration_goes_back_and_on_call_is_told_while_an_older_one_stands() {
+fn an_older_configuration_is_logged_and_not_applied() {
     let mut core = new_core();
     publish(&mut core, 9, before(90), 0);
     let lines = |actions: &[Action]| -> Vec<(u64, bool)> {
@@ -349,7 +352,7 @@
 
 #[test_case(true; "an order that the copy lacks goes on")]
 #[test_case(false; "an order that was taken back does not come back with the copy")]
-fn orders_are_obeyed_as_before_until_they_are_due_to_be_written_again(stood: bool) {
+fn orders_stay_as_before_the_restore_until_their_renewal_is_due(stood: bool) {
     let mut core = new_core();
     publish(&mut core, 3, before(90), 0);
     evacuations(&mut core, vec![order(before(91), true)], None, 10);
@@ -369,7 +372,7 @@
 }
 
 #[test]
-fn an_order_that_is_written_again_counts_at_once() {
+fn an_order_that_is_written_again_applies_at_once() {
     let mut core = new_core();
     publish(&mut core, 3, before(90), 0);
     evacuations(&mut core, vec![order(before(91), true)], None, 10);
@@ -392,7 +395,7 @@
 }
 
 #[test]
-fn an_older_builds_account_counts_until_an_era_has_begun() {
+fn evacuations_of_an_older_build_apply_until_a_new_era() {
     let mut core = new_core();
     publish(&mut core, 3, before(90), 0);
     evacuations(&mut core, Vec::new(), Some(before(90)), 0);
@@ -422,7 +425,7 @@
 }
 
 #[test]
-fn a_gateway_that_starts_before_an_older_copy_waits_for_the_newest_that_peers_have() {
+fn a_gateway_starting_on_an_older_copy_waits_for_the_version_of_its_peers() {
     let mut core = starts_beside(9);
     let actions = core.handle(Event::Tick, ms(200));
     assert!(!is_ready(&actions));
@@ -434,7 +437,7 @@
 }
 
 #[test]
-fn a_gateway_that_starts_waits_no_longer_than_that_is_worth() {
+fn a_starting_gateway_waits_for_a_bounded_time() {
     let mut core = starts_beside(9);
     let mut ready_at = None;
     for at in (20..3_000).step_by(10) {
@@ -460,7 +463,7 @@
 }
 
 #[test]
-fn a_gateway_that_starts_is_ready_once_a_peer_that_serves_has_answered() {
+fn a_starting_gateway_is_ready_once_a_serving_peer_has_answered() {
     let mut core = starts_with_seeds();
     let seen = Seen { version: 6, endpoints: after(40) };
     let starting = Says { members: vec![serving(3)], seen, era: AFTER, ..Says::default() };
@@ -471,7 +474,7 @@
 }
 
 #[test]
-fn a_gateway_that_starts_waits_for_no_peer_that_is_gone() {
+fn a_starting_gateway_does_not_wait_for_unreachable_peers() {
     let mut core = starts_with_seeds();
     assert!(!is_ready(&core.handle(Event::PeerUnreachable { address: address(2) }, ms(20))));
     assert!(is_ready(&core.handle(Event::PeerUnreachable { address: address(3) }, ms(21))));
--- a/tests/direct_evacuations.rs
+++ b/tests/direct_evacuations.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_order_is_in_force_at_once_and_until_it_is_taken_back() {
+fn an_order_is_in_force_at_once_until_it_is_withdrawn() {
     let mut core = core();
     assert_eq!(reached(&mut core, 1, ms(1)), ["hall-0", "hall-1"]);
     let actions = ordered(&mut core, change("hall-0", 5, true), ms(2));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_peer_that_has_not_heard_of_its_end_does_not_bring_an_order_back() {
+fn an_outdated_peer_does_not_restore_an_order() {
     let mut core = core();
     let mut known = Evacuations::default();
     known.apply(&change("hall-0", 5, true));
@@ -99,7 +99,7 @@
 #[test_case(&["hall-0", "hall-1"], false; "two data centres, which have all endpoints")]
 #[test_case(&["hall-9"], true; "one that nobody knows")]
 #[test_case(&[""], true; "one without a name")]
-fn what_no_endpoint_takes_is_refused_at_once(evacuated: &[&str], is_served: bool) {
+fn requests_without_an_endpoint_are_refused_at_once(evacuated: &[&str], is_served: bool) {
     let mut core = core();
     for (number, data_centre) in evacuated.iter().enumerate() {
         ordered(&mut core, change(data_centre, 5 + number as u64, true), ms(1));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn stages_are_made_elsewhere_and_nothing_is_made_for_what_has_no_endpoint() {
+fn stages_run_elsewhere_and_not_at_all_without_an_endpoint() {
     let staged = route("s", Repeat::AtMostOnce, &[("first", &[], 10)]);
     let mut core = configured(vec![staged]);
     ordered(&mut core, change("hall-0", 5, true), ms(1));
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn orders_for_any_number_of_places_are_kept_within_bounds() {
+fn the_number_of_kept_orders_is_bounded() {
     let mut known = Evacuations::default();
     for number in 0..1_000 {
         known.apply(&change(&format!("place-{number}"), number + 1, number % 2 == 0));
@@ -166,7 +166,7 @@
     // other their states in any order. A process that has read the complete state at the end has
     // the correct orders, and so has every process that it sends them to.
     #[test]
-    fn accounts_merge_to_the_truth(
+    fn known_evacuations_merge_to_the_orders_in_force(
         history in history(),
         heard in prop::collection::vec((0usize..4, any::<prop::sample::Index>(), any::<bool>()), 0..40),
         told in prop::collection::vec((0usize..4, 0usize..4), 0..40),
--- a/tests/direct_experience.rs
+++ b/tests/direct_experience.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn nothing_is_expected_without_experience() {
+fn unknown_routes_and_spans_have_no_expected_duration() {
     let experience = experience();
     assert_eq!(experience.expected(&"other".into(), Span::Run, 100, Confidence::UpperBound), None);
     assert_eq!(experience.expected(&route(), Span::Total, 100, Confidence::UpperBound), None);
@@ -40,7 +40,7 @@
 #[test_case(1_000, Confidence::Typical, 5_000; "large, as usual")]
 #[test_case(100_000, Confidence::Typical, 5_000; "a size that was never seen, as the whole route")]
 #[test_case(2_000, Confidence::UpperBound, 12_000; "larger than any that was seen, in proportion")]
-fn sizes_are_told_apart(size: u64, sure: Confidence, expected: u64) {
+fn expected_durations_depend_on_the_size(size: u64, sure: Confidence, expected: u64) {
     assert_eq!(experience().expected(&route(), Span::Run, size, sure), Some(ms(expected)));
 }
 
@@ -48,13 +48,13 @@
 // size.
 #[test_case(100_000; "much larger than any that was seen")]
 #[test_case(1; "much smaller")]
-fn nothing_is_sure_of_a_size_that_was_not_seen(size: u64) {
+fn sizes_far_from_all_recorded_ones_have_no_upper_bound(size: u64) {
     assert_eq!(experience().expected(&route(), Span::Run, size, Confidence::UpperBound), None);
 }
 
 #[test_case(7, false; "too few")]
 #[test_case(8, true; "enough")]
-fn a_few_are_needed_to_be_sure(seen: u64, is_sure: bool) {
+fn an_upper_bound_needs_eight_durations(seen: u64, is_sure: bool) {
     let mut experience = DurationHistory::default();
     for _ in 0..seen {
         experience.record(&route(), Span::Run, 100, ms(60));
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn many_of_another_size_push_nothing_out() {
+fn durations_of_one_size_do_not_evict_those_of_another() {
     let mut experience = experience();
     for _ in 0..200 {
         experience.record(&route(), Span::Run, 10, ms(5));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn what_did_not_end_counts_only_beyond_the_worst() {
+fn a_lower_bound_counts_only_above_the_longest_duration() {
     let mut experience = experience();
     experience.record_lower_bound(&route(), Span::Run, 100, ms(2_000));
     assert_eq!(
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn the_newest_count_and_routes_that_are_gone_are_forgotten() {
+fn only_the_newest_durations_count_and_removed_routes_are_forgotten() {
     let mut experience = experience();
     for _ in 0..200 {
         experience.record(&route(), Span::Run, 100, ms(500));
@@ -113,7 +113,7 @@
 #[test_case(2_600, true, false, false, Confidence::UpperBound; "callers who could know")]
 #[test_case(2_600, true, true, false, Confidence::Deadline; "a stream of a caller who could know")]
 #[test_case(2_600, false, true, false, Confidence::UpperBound; "late for its run")]
-fn the_later_the_surer(
+fn later_requests_need_more_confidence(
     age: u64,
     is_new: bool,
     streams: bool,
--- a/tests/direct_gates.rs
+++ b/tests/direct_gates.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_pause_holds_back_everything_until_its_end() {
+fn a_pause_withholds_all_messages_until_its_end() {
     let (gates, paused) = (Gates::default(), endpoint("engine", 1));
     gates.close(paused.id.clone(), 0, Some(ms(3_000)), ms(0));
     gates.close(paused.id.clone(), 0, Some(ms(1_000)), ms(10));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn who_leaves_gets_no_new_work_and_may_free_what_it_keeps() {
+fn a_leaving_endpoint_gets_only_requests_to_free_results() {
     let (gates, leaving) = (Gates::default(), endpoint("engine", 1));
     gates.close(leaving.id.clone(), 0, None, ms(0));
     gates.close(leaving.id.clone(), 0, Some(ms(1_000)), ms(0));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn another_life_gets_everything() {
+fn a_new_incarnation_gets_all_messages() {
     let (gates, first) = (Gates::default(), endpoint("engine", 1));
     gates.close(first.id.clone(), 0, None, ms(0));
     let second = Arc::new(Endpoint { incarnation: 9, ..(*first).clone() });
@@ -122,7 +122,7 @@
 #[test_case(Statement { leaving: true, ..Statement::default() }; "leaving")]
 #[test_case(Statement { backoff: Some(Backoff::Unclear), ..Statement::default() }; "pause")]
 #[tokio::test]
-async fn what_was_ordered_before_does_not_go_out(statement: Statement) {
+async fn a_call_ordered_before_a_status_is_withheld(statement: Statement) {
     let (held, went_out) = (Arc::new(Semaphore::new(0)), Arc::<AtomicUsize>::default());
     let calls = AtomicUsize::new(0);
     let client = Said { statement, held: held.clone(), calls, went_out: went_out.clone() };
--- a/tests/direct_homes.rs
+++ b/tests/direct_homes.rs
@@ -54,7 +54,7 @@
 #[test_case(&["east", "west"], &["west"], &["hall-1"]; "both bind")]
 #[test_case(&["east"], &["west"], &[]; "none is common to both")]
 #[test_case(&["north"], &[], &[]; "one without endpoints")]
-fn a_request_runs_at_home(route: &[&str], organisation: &[&str], expected: &[&str]) {
+fn a_request_runs_in_its_allowed_regions(route: &[&str], organisation: &[&str], expected: &[&str]) {
     let mut core = core(route, organisation, false);
     let mut reached = Vec::new();
     for caller in 1..=8 {
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn pieces_are_made_at_home_however_many_wait() {
+fn pieces_run_in_their_allowed_regions_however_many_wait() {
     let mut core = core(&["east"], &[], true);
     for caller in 1..=12 {
         let mut incoming = incoming("r", vec![2, 2]);
--- a/tests/direct_late.rs
+++ b/tests/direct_late.rs
@@ -32,8 +32,7 @@
 }
 
 #[test]
-fn a_request_that_waited_for_the_core_is_held_no_longer_than_its_time_out_counted_from_its_arrival()
-{
+fn the_timeout_of_a_request_counts_from_its_arrival() {
     let mut core = configured(vec![plain()]);
     core.on_queue_delay(ms(15), ms(1_015));
     let actions = submit(&mut core, 1, incoming("plain", vec![]), ms(1_015));
@@ -44,7 +43,7 @@
 }
 
 #[test]
-fn what_could_not_be_answered_in_its_time_is_refused_at_the_door_as_not_run() {
+fn an_overloaded_gateway_refuses_new_requests_as_not_run() {
     let mut core = configured(vec![plain()]);
     wait(&mut core, ms(450), ms(1_000));
     core.on_queue_delay(ms(450), ms(1_001));
@@ -56,7 +55,7 @@
 }
 
 #[test]
-fn the_refusals_end_when_events_do_not_wait_any_more() {
+fn refusals_end_with_the_event_lag() {
     let mut core = configured(vec![plain()]);
     wait(&mut core, ms(450), ms(1_000));
     let mut now = ms(1_001);
@@ -70,7 +69,7 @@
 }
 
 #[test]
-fn it_is_told_when_time_grows_short_and_when_it_is_enough() {
+fn overload_is_logged_when_it_starts_and_when_it_ends() {
     let mut core = configured(vec![plain()]);
     let told = |actions: Vec<Action>| -> Vec<bool> {
         let told = actions.into_iter().filter_map(|a| match a {
@@ -122,7 +121,7 @@
 #[test_case(0, 250; "one that says that it has time")]
 #[test_case(150, 700; "one that says that it is busy is waited for")]
 #[test_case(2_000, 1_450; "but not for ever")]
-fn an_owner_that_does_not_decide_is_passed_over(late: u64, after: u64) {
+fn a_job_is_resubmitted_when_its_owner_does_not_decide(late: u64, after: u64) {
     let mut core = with_owner();
     assert_eq!(resubmitted_after(&mut core, ms(late)), Some(after));
 }
@@ -158,7 +157,7 @@
 }
 
 #[tokio::test]
-async fn what_own_callers_wait_for_is_handled_before_all_that_waits_for_others() {
+async fn urgent_events_are_handled_first() {
     let (handle, mailbox) = actor::mailbox::<Numbers>();
     for event in [11, 12, 13, 1, 14, 2] {
         handle.send(event).await.expect("it runs");
@@ -170,7 +169,7 @@
 }
 
 #[tokio::test]
-async fn heartbeats_are_handled_however_much_own_callers_ask() {
+async fn urgent_events_do_not_starve_the_others() {
     let (handle, mailbox) = actor::mailbox::<Numbers>();
     for event in std::iter::repeat_n(1, 100).chain([11, 12]) {
         handle.send(event).await.expect("it runs");
--- a/tests/direct_ledger.rs
+++ b/tests/direct_ledger.rs
@@ -30,7 +30,7 @@
 #[test_case(60.0, 12, 0, 2; "more than the endpoints can do")]
 #[test_case(60.0, 30, 8, 3; "with calls that fail")]
 #[test_case(90.0, 20, 20, 4; "overload, and every fifth call fails")]
-fn what_is_kept_is_what_is_counted(jobs: f64, endpoints: usize, failing: u32, seed: u64) {
+fn kept_state_equals_the_recomputed_state(jobs: f64, endpoints: usize, failing: u32, seed: u64) {
     let compared = compared(shape(jobs, endpoints, failing, seed));
     assert!(compared.states > 100, "{compared:?}");
     assert!(compared.calls > 50, "{compared:?}");
@@ -42,7 +42,7 @@
 // as often in either direction. A deferred stage is checked every 25 ms, and only two full calls of
 // the waiting pieces are considered: 18 of 1,480 calls hold other pieces.
 #[test]
-fn decisions_are_those_by_counting_anew_but_for_a_step_of_time() {
+fn decisions_equal_the_recomputed_ones_within_a_time_step() {
     let mut all = Compared::default();
     for seed in 1..=6 {
         all += compared(shape(70.0, 20, 6, seed));
@@ -60,7 +60,7 @@
 // The cost of a job doesn't depend on the number of held jobs; the test counts the checked jobs
 // instead of measuring time.
 #[test]
-fn an_owner_looks_at_no_more_jobs_for_a_job_when_many_are_held() {
+fn the_jobs_checked_per_job_do_not_grow_with_the_held_jobs() {
     let few = OwnerLoad::new(shape(20.0, 12, 0, 1)).run(|_, _, _, _| {});
     let many = OwnerLoad::new(shape(500.0, 300, 0, 1)).run(|_, _, _, _| {});
     assert!(many.held > few.held * 15, "{} and {}", few.held, many.held);
--- a/tests/direct_limits.rs
+++ b/tests/direct_limits.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn an_endpoint_gets_what_it_named_and_the_others_the_rest() {
+fn an_endpoint_gets_its_announced_rate_and_the_others_the_rest() {
     let mut core = limited(2.0);
     let sent = press(&mut core, 100, 2_010, 12_010, 20);
     let first = to_first(&sent);
@@ -87,7 +87,7 @@
 
 #[test_case(0.0, 1, 2; "none: asked now and then whether that holds")]
 #[test_case(0.25, 3, 5; "one in four seconds")]
-fn the_smallest_limits_are_kept(limit: f64, from: usize, to: usize) {
+fn the_smallest_limits_are_respected(limit: f64, from: usize, to: usize) {
     let mut core = limited(limit);
     let first = to_first(&press(&mut core, 100, 2_010, 22_010, 50));
     assert!(first.len() >= from && first.len() <= to, "{first:?}");
@@ -109,7 +109,10 @@
 #[test_case(&[(0, Some(3.0), 5), (2, Some(1.0), 6)], Some(1.0); "a lower one, whenever it was written")]
 #[test_case(&[(0, Some(3.0), 5), (6, None, 9), (1, Some(3.0), 10)], Some(3.0); "an old one again")]
 #[test_case(&[(0, None, 5)], None; "none at all")]
-fn what_answers_tell(told: &[(u64, Option<f64>, u64)], expected: Option<f64>) {
+fn the_announced_limit_depends_on_the_order_of_answers(
+    told: &[(u64, Option<f64>, u64)],
+    expected: Option<f64>,
+) {
     let mut known = KnownLimits::default();
     for &(sent, limit, read) in told {
         let limit = limit.map_or(RateLimit::None, at);
@@ -126,7 +129,7 @@
 }
 
 #[test]
-fn accounts_merge_in_any_order() {
+fn announced_limits_merge_in_any_order() {
     let accounts = [
         account(1, at(3.0)),
         account(2, RateLimit::None),
@@ -147,7 +150,7 @@
 }
 
 #[test]
-fn what_ends_ends_by_degrees_for_everybody() {
+fn a_limit_ends_by_steps() {
     let mut known = KnownLimits::default();
     state(&mut known, at(3.0), 0, 0);
     state(&mut known, RateLimit::None, 10, 1_000);
@@ -163,7 +166,7 @@
 }
 
 #[test]
-fn another_life_has_named_nothing() {
+fn a_new_incarnation_has_no_limit() {
     let mut core = configured(routes());
     enter(&mut core, &living("engine", 1, 7), 50, 5);
     says(&mut core, &living("engine", 1, 7), names(0.0), 2_000);
@@ -174,7 +177,7 @@
 }
 
 #[test]
-fn memory_is_bounded() {
+fn the_number_of_known_limits_is_bounded() {
     let mut known = KnownLimits::default();
     for number in 0..6_000u64 {
         let told = AnnouncedLimit { incarnation: number, ..account(1, at(1.0)) };
@@ -187,7 +190,7 @@
 }
 
 #[test]
-fn a_message_that_was_ordered_before_goes_out_with_a_permit_only() {
+fn a_limited_endpoint_gets_messages_with_a_valid_permit_only() {
     let (gates, named) = (Gates::default(), engine(1));
     gates.set_limited(named.id.clone(), 0, true, ms(0));
     for asked in [CallKind::Request, CallKind::Pieces, CallKind::Report, CallKind::Free] {
@@ -201,7 +204,7 @@
 }
 
 #[test]
-fn what_was_withheld_goes_elsewhere_without_blame() {
+fn a_withheld_call_goes_to_another_endpoint() {
     let mut core = configured(routes());
     let actions = submit(&mut core, 1, incoming("r", Vec::new()), ms(2_000));
     let (attempt, order) = calls(&actions)[0].clone();
@@ -214,7 +217,7 @@
 }
 
 #[test]
-fn where_all_have_limits_what_fits_waits_and_the_rest_is_told_its_turn() {
+fn when_all_endpoints_are_limited_requests_wait_or_are_refused_with_their_turn() {
     let mut core = limited(1.0);
     says(&mut core, &engine(2), names(1.0), 2_000);
     let mut refused = Vec::new();
@@ -241,7 +244,7 @@
 }
 
 #[test]
-fn urgent_ones_and_those_with_less_time_go_first() {
+fn urgent_requests_and_early_deadlines_get_permits_first() {
     let (life, pace) = (("engine-1".into(), 0), Pace::new(rate(1.0), 1.0));
     let mut limiter = Limiter::default();
     let asker = |number| Asker { gateway: address(1), number };
@@ -271,7 +274,7 @@
 }
 
 #[test]
-fn a_more_urgent_one_takes_the_turn_of_one_that_can_not_wait() {
+fn a_more_urgent_request_displaces_one_that_can_not_wait() {
     let (life, pace) = (("engine-1".into(), 0), Pace::new(rate(1.0), 1.0));
     let mut limiter = Limiter::default();
     let ask = |number, priority, latest: u64| PermitRequest {
@@ -286,7 +289,7 @@
 }
 
 #[test]
-fn the_strictest_holds_of_a_pause_and_a_limit() {
+fn a_pause_and_a_limit_both_apply() {
     let mut core = limited(2.0);
     says(&mut core, &engine(1), pause_for(ms(3 * SECONDS)), 2_010);
     let first = to_first(&press(&mut core, 100, 2_020, 4_990, 20));
@@ -296,7 +299,7 @@
 }
 
 #[test]
-fn calls_with_pieces_have_their_turn() {
+fn batch_calls_respect_limits() {
     let mut core = configured(routes());
     for number in 1..=2 {
         says(&mut core, &endpoint("first", number), names(1.0), 2_000);
@@ -341,7 +344,7 @@
 }
 
 #[test]
-fn other_gateways_hear_of_it_and_whoever_starts() {
+fn a_limit_is_sent_with_two_heartbeats_and_to_starting_gateways() {
     let (mut core, _) = two();
     let mut told = limits_told(&says(&mut core, &engine(1), names(1.0), 200));
     for beat in 1..10 {
@@ -354,7 +357,7 @@
 }
 
 #[test]
-fn a_gateway_that_never_had_an_answer_keeps_it() {
+fn a_limit_from_a_peer_is_respected() {
     let (mut core, _) = two();
     let limits = vec![account(1, at(0.0))];
     let message = Says { members: vec![serving(2)], limits, ..Says::default() }.message();
@@ -387,7 +390,7 @@
 }
 
 #[test]
-fn a_permit_that_comes_late_is_void() {
+fn a_late_permit_is_void() {
     let (_, mut core) = two();
     let number = of_the_other(&mut core, 500);
     let later = 9_000;
@@ -399,7 +402,7 @@
 }
 
 #[test]
-fn nobody_else_decides() {
+fn only_the_limiter_grants_permits() {
     let (_, mut core) = two();
     let number = of_the_other(&mut core, 500);
     let (granted, retry_after) = (true, Duration::ZERO);
@@ -419,7 +422,7 @@
 }
 
 #[test]
-fn a_limiter_gives_the_parts_of_those_that_it_hears() {
+fn a_limiter_grants_the_share_of_reachable_gateways() {
     let mut members = settled(9);
     let all = |_: &Member| true;
     assert!((members.reachable_share(all, ms(500)) - 0.1).abs() < 1e-9, "not yet settled");
@@ -440,7 +443,7 @@
 }
 
 #[test]
-fn who_takes_over_waits_until_the_one_before_has_stopped() {
+fn a_new_limiter_waits_until_its_predecessor_has_stopped() {
     let all = |_: &Member| true;
     let mut taken_over = 0;
     for what in 0..40 {
@@ -460,7 +463,7 @@
 }
 
 #[test]
-fn builds_that_give_no_permits_are_asked_for_none() {
+fn permits_are_not_requested_from_builds_without_them() {
     let (mut core, _) = two();
     let build = Build { version: "0.0.9".to_owned(), commit: None, form: 4 };
     let incarnation = serving(2).incarnation;
--- a/tests/direct_links.rs
+++ b/tests/direct_links.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_member_that_is_silent_is_not_told_more_over_the_same_connection() {
+fn the_connection_to_a_silent_member_is_closed() {
     let mut core = new_core();
     core.handle(beat(address(5), 1), ms(0));
     let is_cut = |actions: &[Action]| {
@@ -44,7 +44,7 @@
 #[test_case(8, 2; "eight")]
 #[test_case(28, 7; "many, the first to ask again tells all")]
 #[test_case(580, 8; "at most that")]
-fn watches_wait_longer_where_many_watch(gateways: u64, seconds: u64) {
+fn the_watch_timeout_grows_with_the_number_of_gateways(gateways: u64, seconds: u64) {
     let mut core = new_core();
     for other in 1..gateways {
         core.handle(beat(address(1_000 + other as u16), other), ms(0));
@@ -59,7 +59,7 @@
 #[test_case(30, 1_800; "thirty")]
 #[test_case(103, 6_180; "many: one of them goes on every 60 ms")]
 #[test_case(580, 8_000; "at most that")]
-fn changes_of_the_list_gather_longer_where_many_hear_of_them(gateways: u64, longest: u64) {
+fn the_watch_delay_grows_with_the_number_of_gateways(gateways: u64, longest: u64) {
     let mut core = new_core();
     for other in 1..gateways {
         core.handle(beat(address(1_000 + other as u16), other), ms(0));
@@ -68,7 +68,7 @@
 }
 
 #[tokio::test]
-async fn what_is_told_after_a_disconnection_goes_over_a_new_connection() {
+async fn messages_after_a_disconnection_use_a_new_connection() {
     let listener = TcpListener::bind(address(0)).await.expect("a port");
     let to = listener.local_addr().expect("its address");
     let (core, waiting) = mailbox();
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_over_which_nothing_comes_any_more_is_not_kept_for_ever() {
+async fn an_idle_incoming_connection_is_closed() {
     let listener = TcpListener::bind(address(0)).await.expect("a port");
     let at = listener.local_addr().expect("its address");
     let (core, waiting) = mailbox();
--- a/tests/direct_members.rs
+++ b/tests/direct_members.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn all_agree_on_the_owner_and_a_lost_one_is_passed_over() {
+fn an_unreachable_owner_is_replaced_by_the_next() {
     let mut members = three();
     let owner = members.owner("stages", &[]).expect("an owner");
     let next = members.owner("stages", &[owner.address]).expect("another owner");
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn the_strongest_hosts_own_and_small_differences_count_for_nothing() {
+fn the_strongest_hosts_are_owners_and_small_differences_are_ignored() {
     let strong = |port, capacity| Member { capacity, ..member(port, 5, 2, MemberState::Serving) };
     for (others, expected) in [([1_000, 4_000], vec![3]), ([1_010, 990], vec![1, 2, 3])] {
         let mut seen = std::collections::BTreeSet::new();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn who_leaves_owns_only_where_nobody_serves() {
+fn a_leaving_member_is_owner_only_if_no_other_serves() {
     let mut members = three();
     let leaving = MemberState::Leaving;
     members.set_state(leaving);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn the_silent_are_taken_for_dead_and_come_back() {
+fn silent_members_are_unreachable_until_their_next_heartbeat() {
     let mut members = three();
     assert!(members.expire(ms(900)).is_empty());
     assert_eq!(members.expire(ms(1_000)).len(), 2);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn old_news_do_not_bring_a_member_back() {
+fn outdated_heartbeats_do_not_revive_a_member() {
     let mut members = three();
     members.merge(&[member(2, 5, 8, MemberState::Serving)], ms(100));
     assert!(members.mark_unreachable(address(2), 5, ms(200)));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_member_whose_connection_broke_is_dead_only_if_its_heartbeat_does_not_grow() {
+fn a_member_with_a_failed_connection_is_unreachable_only_without_new_heartbeats() {
     let mut members = three();
     assert!(members.suspect(address(2), 5, ms(100)));
     assert!(members.suspect(address(3), 5, ms(100)));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_member_that_was_restarted_has_lost_its_life_before() {
+fn a_restarted_member_replaces_its_previous_incarnation() {
     let mut members = three();
     let heard = members.merge(&[member(2, 6, 1, MemberState::Starting)], ms(100));
     assert_eq!(heard.replaced, [member(2, 5, 1, MemberState::Serving)]);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn seeds_are_asked_until_they_are_heard() {
+fn seeds_get_heartbeats_until_they_are_members() {
     let mut members = Members::new(address(1), 1, 1_000, vec![address(1), address(2)]);
     let mut rng = StdRng::seed_from_u64(1);
     assert_eq!(members.next_heartbeat(&mut rng), [address(2)]);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_whole_list_takes_away_what_it_lacks_but_nothing_newer() {
+fn a_complete_list_removes_missing_entries_but_no_newer_ones() {
     let mut documents = Documents::default();
     documents.merge(vec![entry(1, 3), entry(2, 9)], ms(0));
     documents.merge_list(vec![entry(3, 4)], position(5), ms(1));
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn entries_that_lapsed_while_the_publisher_was_away_are_used_until_they_are_back() {
+fn entries_that_expired_during_an_outage_are_used_until_renewed() {
     let mut documents = lapsed_after(4_000);
     assert_eq!(documents.endpoints().count(), 6);
     assert_eq!(documents.entry_state("engine-2"), EntryState::Expired);
@@ -201,7 +201,7 @@
 // announced an endpoint that had left. 51 requests in a second reached an endpoint that had just
 // restarted under that id.
 #[test]
-fn a_peer_that_knows_less_brings_no_endpoint_back() {
+fn an_outdated_peer_does_not_restore_a_removed_endpoint() {
     let mut documents = Documents::default();
     documents.merge_list(vec![entry(1, 3)], position(8), ms(0));
     assert!(documents.merge(vec![entry(2, 7)], ms(1)).is_empty(), "it had left by then");
@@ -214,7 +214,7 @@
 // sent it to each other. Requests were sent to endpoints 3.4 s after they had announced their
 // departure.
 #[test]
-fn an_entry_that_lapsed_is_gone_in_the_end_though_peers_tell_so_once_more() {
+fn a_second_removal_from_a_peer_does_not_extend_an_expired_entry() {
     let mut documents = lapsed_after(4_000);
     documents.merge(vec![gone(2, 14)], ms(5_100));
     assert_eq!(documents.entry_state("engine-2"), EntryState::Expired);
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn an_endpoint_that_was_leaving_does_not_lapse() {
+fn a_leaving_endpoint_is_removed_at_once() {
     let mut documents = lapsed_after(0);
     let mut leaving = (*endpoint("engine", 1)).clone();
     leaving.leaving = true;
@@ -241,7 +241,7 @@
 
 #[test_case(0, &[2]; "the publisher was never away")]
 #[test_case(500, &[2]; "it was away for less than an entry lasts")]
-fn one_entry_that_goes_is_gone_at_once(absence: u64, numbers: &[u16]) {
+fn a_single_removed_entry_is_removed_at_once(absence: u64, numbers: &[u16]) {
     let mut documents = Documents::default();
     documents.merge_list((1..=6).map(|n| entry(n, u64::from(n))).collect(), position(6), ms(0));
     documents.set_publisher_available(false, ms(1_000));
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn most_entries_that_go_at_once_lapsed_though_no_absence_was_noticed() {
+fn a_mass_removal_counts_as_expiry_without_a_noticed_outage() {
     let mut documents = Documents::default();
     documents.merge_list((1..=6).map(|n| entry(n, u64::from(n))).collect(), position(6), ms(0));
     documents.merge((1..=5).map(|n| gone(n, 20)).collect(), ms(500));
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn a_peer_gets_what_it_lacks() {
+fn a_peer_gets_the_documents_that_it_lacks() {
     let mut documents = Documents::default();
     let deployment = Document::Deployment(Arc::new(deployment(3, Vec::new())));
     documents.merge(
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn repeats_stay_within_the_share_in_every_window() {
+fn repeats_stay_within_the_budget_in_every_window() {
     let bounds = RepeatBudget { ratio: 0.2, slack: 40.0, window: Duration::from_secs(10) };
     let mut repeats = RepeatLimiter::new(bounds);
     let pool = "p".into();
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn what_a_lost_owner_kept_runs_out() {
+fn the_memory_usage_of_a_removed_owner_decays() {
     let mut makers = Producers::default();
     let usage = vec![Usage { endpoint: "m".into(), bytes: 800 }];
     makers.usage_announced(address(2), usage);
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn an_endpoint_without_room_is_taken_at_its_word() {
+fn an_endpoint_that_reports_no_memory_is_full_for_a_while() {
     let mut makers = Producers::default();
     assert_eq!(makers.free_bytes("m", 1_000, ms(0)), 1_000);
     makers.no_result_memory(&"m".into(), 1_000, ms(0));
@@ -334,7 +334,7 @@
 #[test_case(&["data: a\n\ndata: b\n\n"], &["data: a\n\ndata: b\n\n"], None; "without ids")]
 #[test_case(&["id: 9\ndata: a\n\nid: 10\ndata"], &["id: 9\ndata: a\n\n"], Some("9"); "torn at the end")]
 #[test_case(&["id: 4\r\ndata: a\r\n\r\n"], &["id: 4\r\ndata: a\r\n\r\n"], Some("4"); "with returns")]
-fn only_whole_events_are_given_out(chunks: &[&str], expected: &[&str], last: Option<&str>) {
+fn only_complete_events_are_passed_on(chunks: &[&str], expected: &[&str], last: Option<&str>) {
     let mut splitter = EventSplitter::default();
     let events: Vec<_> = chunks.iter().filter_map(|c| splitter.push(c.as_bytes())).collect();
     assert_eq!(events, expected);
--- a/tests/direct_orders.rs
+++ b/tests/direct_orders.rs
@@ -30,14 +30,14 @@
 #[test_case(2_161; "a gateway that starts has its list from a peer that was cut off, 51 in a second")]
 #[test_case(1_441; "endpoints restart, unheard of, in a data centre that is evacuated, 43 in a second")]
 #[test_case(1_284; "endpoints lapse that could not be reached, and come back, 58 in a second")]
-fn a_schedule_that_broke_what_a_cold_endpoint_bears(seed: u64) {
+fn earlier_overloads_of_cold_endpoints_do_not_recur(seed: u64) {
     let mut fleet = Fleet::new(seed, gateways(seed));
     fleet.run();
     assert!(fleet.seen.most_in_a_second <= MOST_IN_A_SECOND, "{:?}", fleet.seen);
 }
 
 #[test]
-fn no_cold_endpoint_gets_more_than_it_bears_and_no_evacuated_one_anything() {
+fn cold_endpoints_are_not_overloaded_and_evacuated_ones_get_no_calls() {
     let first = number("STACKMAST_SEED", 1);
     let count = number("STACKMAST_SCHEDULES", SCHEDULES);
     let mut all = Seen::default();
--- a/tests/direct_pauses.rs
+++ b/tests/direct_pauses.rs
@@ -22,7 +22,7 @@
 use stackmast::direct::statement::{Backoff, Statement};
 
 #[test]
-fn results_at_an_endpoint_that_wants_nothing_are_freed_when_it_does_again() {
+fn results_at_a_paused_endpoint_are_freed_after_the_pause() {
     let mut core = configured(routes());
     let actions = submit(&mut core, 1, incoming("staged", vec![1, 1]), ms(0));
     let (call, maker) = batches(&actions)[0].clone();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn results_at_an_endpoint_that_leaves_are_freed() {
+fn results_at_a_leaving_endpoint_are_freed() {
     let mut core = configured(routes());
     let actions = submit(&mut core, 1, incoming("staged", vec![1, 1]), ms(0));
     let (call, maker) = batches(&actions)[0].clone();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn pieces_go_to_endpoints_that_want_them() {
+fn pieces_avoid_leaving_and_paused_endpoints() {
     for statement in [LEAVES, pause_for(ms(9 * SECONDS))] {
         let mut core = configured(routes());
         let mut callers = 1..;
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_job_whose_endpoints_all_want_nothing_until_its_end_is_given_up_at_once_with_the_true_time() {
+fn a_job_whose_endpoints_pause_past_its_deadline_is_cancelled_with_a_retry_time() {
     let mut core = configured(routes());
     // The first calls fill both endpoints; the third request waits.
     let sent: Vec<_> = (1..=3)
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_request_whose_engines_want_nothing_until_its_stages_are_made_is_begun() {
+fn stages_start_if_the_engines_pause_no_longer_than_the_stages_take() {
     let mut core = configured(routes());
     says(&mut core, &engine(1), pause_for(ms(300)), 0);
     says(&mut core, &engine(2), pause_for(ms(300)), 0);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn an_endpoint_that_wants_nothing_is_not_asked_how_it_stands() {
+fn paused_and_leaving_endpoints_get_no_report_requests() {
     let mut core = configured(routes());
     says(&mut core, &endpoint("first", 1), pause_for(ms(9 * SECONDS)), 10);
     says(&mut core, &endpoint("first", 2), LEAVES, 10);
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn an_endpoint_without_room_is_not_asked_how_it_stands_where_it_wants_nothing() {
+fn a_paused_endpoint_without_memory_gets_no_report_request() {
     for (statement, expected) in [(None, 1), (Some(pause_for(ms(9 * SECONDS))), 0)] {
         let mut core = configured(routes());
         let actions = submit(&mut core, 1, incoming("staged", vec![1, 1]), ms(0));
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn an_endpoint_that_tells_that_it_is_cold_gets_its_part_of_pieces_and_requests_alike() {
+fn the_cold_limit_applies_to_pieces_and_requests() {
     const BEARS: ColdStart = ColdStart { per_second: 10.0, duration: Duration::from_secs(3) };
     let mut deployment = deployment(9, routes());
     deployment.pools.iter_mut().for_each(|pool| pool.cold = Some(BEARS));
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn reports_in_which_an_endpoint_is_in_another_life_end_no_pause() {
+fn reports_of_another_incarnation_do_not_end_a_pause() {
     let mut core = configured(routes());
     submit(&mut core, 1, incoming("staged", vec![1, 1]), ms(0));
     says(&mut core, &endpoint("first", 1), pause_for(ms(5 * SECONDS)), 10);
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_cell_that_is_begun_during_a_pause_knows_of_it() {
+fn a_cell_created_during_a_pause_respects_it() {
     let bounds = RepeatBudget { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) };
     let (mut owners, table) = (Owners::new(address(1), bounds), table(routes()));
     let mut known = Backoffs::new(address(1));
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_request_whose_engines_all_want_nothing_until_its_deadline_is_refused_in_its_stages() {
+fn a_request_whose_engines_pause_past_its_deadline_is_refused_during_its_stages() {
     let mut core = configured(routes());
     let actions = submit(&mut core, 1, incoming("staged", vec![1, 1]), ms(0));
     assert_eq!(batches(&actions).len(), 1);
--- a/tests/direct_poison.rs
+++ b/tests/direct_poison.rs
@@ -16,12 +16,12 @@
 #[test_case("POST", "/a?c=d", b"b" => false; "another query")]
 #[test_case("POST", "/ab", b"" => false; "the same bytes, cut elsewhere")]
 #[test_case("POST", "/a", b"c" => false; "another body")]
-fn a_request_is_told_by_its_content(method: &str, target: &str, body: &[u8]) -> bool {
+fn the_fingerprint_depends_on_the_content(method: &str, target: &str, body: &[u8]) -> bool {
     Fingerprint::of_content(method, target, body) == Fingerprint::of_content("POST", "/a", b"b")
 }
 
 #[test]
-fn callers_are_told_apart() {
+fn the_fingerprint_depends_on_the_organisation() {
     let content = Fingerprint::of_content("POST", "/a", b"b");
     let callers = [None, Some("guild"), Some("other")];
     let told: std::collections::BTreeSet<_> = callers.map(|c| content.for_organisation(c)).into();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn three_crashes_one_after_the_other_tell_the_poison_and_three_at_once_do_not() {
+fn three_successive_crashes_quarantine_but_three_at_once_do_not() {
     let mut suspects = Suspects::default();
     for endpoint in ["a", "b", "c", "d"] {
         assert_eq!(end(&mut suspects, endpoint, &[run(1, 1, true)]), []);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn who_shares_each_call_with_the_poison_is_set_apart_and_not_refused() {
+fn requests_sharing_calls_with_the_poison_are_isolated_and_not_refused() {
     let mut suspects = Suspects::default();
     let shared = |round| [run(1, round, false), run(2, round, false)];
     end(&mut suspects, "a", &shared(1));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn one_more_crash_tells_the_poison_from_who_ran_wherever_it_did() {
+fn one_more_crash_separates_the_poison_from_its_companion() {
     let mut suspects = Suspects::default();
     let both = |round| [run(1, round, true), run(2, round, true)];
     end(&mut suspects, "a", &both(1));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn what_is_remembered_is_bounded_and_forgotten() {
+fn suspects_are_bounded_and_expire() {
     let mut suspects = Suspects::default();
     for endpoint in ["a", "b", "c"] {
         let round = 1 + suspects.rounds(content(0));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn news_is_told_for_some_heartbeats_and_then_only_compared() {
+fn suspects_are_sent_with_four_heartbeats_and_then_only_compared() {
     let mut suspects = Suspects::default();
     end(&mut suspects, "a", &[run(1, 1, true)]);
     end(&mut suspects, "b", &[run(1, 2, true)]);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_content_that_came_long_ago_is_not_learnt_again() {
+fn expired_suspects_are_not_learnt_again() {
     let mut suspects = Suspects::default();
     end(&mut suspects, "a", &[run(1, 1, true)]);
     end(&mut suspects, "b", &[run(1, 2, true)]);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn what_ran_well_speaks_for_its_content_for_a_while() {
+fn successes_count_for_a_minute_and_are_bounded() {
     let mut successes = Successes::default();
     successes.record(content(1), ms(0));
     assert!(
@@ -154,7 +154,7 @@
 
 proptest! {
     #[test]
-    fn gateways_that_tell_each_other_know_the_same(first in crashes(), second in crashes()) {
+    fn gateways_that_exchange_suspects_agree(first in crashes(), second in crashes()) {
         let know = |crashes: &[(u64, u8, u8, bool, bool)]| {
             let mut suspects = Suspects::default();
             for (number, endpoint, round, alone, is_cleared) in crashes {
@@ -182,7 +182,7 @@
 /// Verdicts on calls of one endpoint that break one after the other, with the result of a probe
 /// before each but the first.
 #[test]
-fn an_endpoint_that_lived_when_it_was_probed_is_probed_again_with_the_next_call_that_breaks() {
+fn an_endpoint_is_probed_again_with_the_next_broken_call() {
     let table = table(Vec::new());
     let endpoint = table.endpoint("engine-1").expect("an endpoint").clone();
     let mut broken = UnansweredCalls::default();
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn what_is_known_is_told_apart_from_news() {
+fn known_announcements_are_not_new() {
     let mut suspects = Suspects::default();
     end(&mut suspects, "a", &[run(1, 1, true)]);
     end(&mut suspects, "b", &[run(1, 2, true)]);
--- a/tests/direct_pulls.rs
+++ b/tests/direct_pulls.rs
@@ -92,7 +92,7 @@
 const NEWER: Seen = Seen { version: 2, endpoints: position(2) };
 
 #[test]
-fn a_configuration_is_asked_of_one_peer_while_its_answer_is_on_the_way() {
+fn a_configuration_is_pulled_from_one_peer_at_a_time() {
     let mut core = gateway();
     let first = asked(&mut core, NEWER, 2_010, 2_200);
     assert_eq!(first.len(), 1, "{first:?}");
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn an_answer_that_moves_and_will_end_soon_is_waited_for() {
+fn a_transfer_with_good_progress_is_not_replaced() {
     let mut core = gateway();
     assert_eq!(asked(&mut core, NEWER, 2_000, 2_200).len(), 1);
     for (step, at) in (2_200..3_400).step_by(200).enumerate() {
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_peer_that_drips_holds_up_no_other_and_two_are_asked_at_most() {
+fn a_slow_transfer_is_supplemented_by_at_most_one_other() {
     let mut core = gateway();
     assert_eq!(asked(&mut core, NEWER, 2_000, 2_200).len(), 1);
     let mut others = Vec::new();
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_peer_of_which_nothing_comes_is_passed_over() {
+fn a_silent_peer_is_replaced_by_another() {
     let mut core = gateway();
     let asked = asked(&mut core, NEWER, 2_000, 2_600);
     let peers: Vec<_> = asked.iter().map(|(_, peer)| *peer).collect();
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn versions_between_do_not_hold_up_the_newest() {
+fn intermediate_versions_do_not_delay_the_newest() {
     let mut core = gateway();
     let newest = Seen { version: 90, endpoints: position(2) };
     let mut found = Vec::new();
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn after_a_fresh_configuration_the_next_is_asked_for_in_time() {
+fn pulls_of_successive_configurations_are_spaced() {
     for told in (0..700).step_by(50) {
         let mut core = gateway();
         let document = Document::Deployment(deployment(2, Vec::new()).into());
@@ -181,7 +181,7 @@
 
 #[test_case(&|| Event::PeerMessage { from: address(4), message: PeerMessage::NoConfiguration }; "that refuses")]
 #[test_case(&|| Event::ConfigurationPullAborted { from: address(4), pull: 0 }; "that breaks off")]
-fn another_is_asked_after_a_peer(event: &dyn Fn() -> Event) {
+fn another_peer_is_asked_after_a_peer(event: &dyn Fn() -> Event) {
     let mut core = gateway();
     assert_eq!(asked(&mut core, NEWER, 2_000, 2_300).len(), 1);
     let actions = core.handle(event(), ms(2_300));
@@ -193,7 +193,7 @@
 // The end of an abandoned transfer must not end a later one from the same peer.
 #[test_case(1, true; "the pull that is on its way")]
 #[test_case(7, false; "another pull")]
-fn only_the_end_of_the_own_pull_makes_another_peer_asked(pull: u64, is_asked: bool) {
+fn only_the_end_of_the_current_pull_starts_another(pull: u64, is_asked: bool) {
     let mut core = gateway();
     assert_eq!(asked(&mut core, NEWER, 2_000, 2_300).len(), 1);
     let actions =
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn nothing_is_asked_of_peers_while_the_own_read_brings_it() {
+fn no_pull_while_the_store_read_progresses() {
     let mut core = gateway();
     for at in (2_000..3_000).step_by(200) {
         core.handle(Event::ConfigurationReadProgress, ms(at));
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn what_was_read_whole_is_not_asked_of_peers_before_it_is_handed_over() {
+fn no_pull_between_a_complete_store_read_and_its_publication() {
     let mut core = gateway();
     core.handle(Event::ConfigurationReadProgress, ms(2_000));
     assert!(asked(&mut core, NEWER, 2_000, 2_300).is_empty());
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn entries_of_endpoints_do_not_wait_for_a_configuration() {
+fn endpoint_entries_do_not_wait_for_a_configuration() {
     let mut core = gateway();
     assert_eq!(asked(&mut core, NEWER, 2_000, 2_300).len(), 1);
     let more = Seen { version: 2, endpoints: position(3) };
@@ -260,7 +260,7 @@
 
 /// Of an endpoint that was removed long ago only the revision is kept.
 #[test]
-fn a_list_that_is_behind_by_forgotten_entries_is_not_asked_for_for_ever() {
+fn a_list_behind_by_forgotten_entries_is_pulled_once() {
     let mut core = gateway();
     let ahead = Seen { version: 1, endpoints: position(9) };
     let mut count = 0;
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn versions_that_follow_each_other_leave_the_link_to_requests_meanwhile() {
+fn frequent_versions_leave_the_link_free_between_pulls() {
     let mut core = gateway();
     let mut times = Vec::new();
     for at in (2_000..6_000).step_by(5) {
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn an_endpoint_that_changes_leaves_the_table_as_if_it_were_compiled_anew() {
+fn incremental_changes_leave_the_same_table_as_a_rebuild() {
     let routes = vec![route("plain", Repeat::Idempotent, &[])];
     let deployment = Arc::new(deployment(1, routes));
     let mut table = Table::new(deployment.clone(), [].into_iter());
--- a/tests/direct_quarantine.rs
+++ b/tests/direct_quarantine.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn the_fourth_try_is_refused_as_not_run_and_told_when_it_is_forgotten() {
+fn the_fourth_attempt_is_refused_as_not_run_with_a_retry_time() {
     let mut core = core();
     hear_of(&mut core, vec![serving(2)], ms(500));
     for caller in 1..=3 {
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn what_runs_well_after_a_crash_is_suspected_no_more() {
+fn a_successful_run_clears_the_suspicion() {
     let mut core = core();
     crash(&mut core, 1, ms(1_000));
     let because = |actions: &[Action]| {
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_request_that_waits_for_its_stages_is_given_up_when_others_tell() {
+fn a_request_waiting_for_its_stages_is_refused_when_a_peer_reports_the_poison() {
     let mut core = core();
     let actions = submit(&mut core, 1, poison("s", vec![1]), ms(1_000));
     assert!(refusal(&actions).is_none());
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_gateway_asks_whom_it_newly_hears_and_is_told_only_what_it_lacks() {
+fn a_gateway_asks_new_members_for_suspects_and_gets_only_missing_ones() {
     let mut core = core();
     core.handle(Event::Tick, ms(3_000));
     hear_of(&mut core, vec![serving(2)], ms(3_050));
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_gateway_asks_now_and_then_whether_it_missed_something() {
+fn a_gateway_periodically_asks_for_missed_suspects() {
     let mut core = core();
     let mut asked = 0;
     for beat in 0..30u64 {
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_stream_that_breaks_after_its_content_was_quarantined_goes_on_nowhere() {
+fn a_broken_stream_of_quarantined_content_is_not_resumed() {
     let again = Route { streams: true, resumable: true, ..route("r", Repeat::AtMostOnce, &[]) };
     let mut core = configured(vec![again]);
     let attempt = calls(&submit(&mut core, 1, poison("r", vec![]), ms(1_000)))[0].0;
--- a/tests/direct_requests.rs
+++ b/tests/direct_requests.rs
@@ -23,7 +23,7 @@
 use test_case::test_case;
 
 #[test]
-fn a_process_that_knows_nothing_is_not_ready_and_refuses_as_not_run() {
+fn a_process_without_a_configuration_is_not_ready_and_refuses_as_not_run() {
     let mut core = new_core();
     let actions = submit(&mut core, 1, incoming("r", Vec::new()), ms(0));
     assert!(!actions.iter().any(|a| matches!(a, Action::SetReady(true))));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_request_waits_for_the_configuration_within_a_part_of_its_time() {
+fn a_request_waits_for_the_configuration_for_part_of_its_timeout() {
     let mut core = new_core();
     let request = IncomingRequest { timeout: Some(ms(400)), ..incoming("r", Vec::new()) };
     submit(&mut core, 1, request, ms(0));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn what_waited_for_the_configuration_runs_within_its_own_time() {
+fn the_wait_for_the_configuration_counts_towards_the_timeout() {
     let mut core = new_core();
     submit(&mut core, 1, incoming("r", Vec::new()), ms(0));
     submit(&mut core, 2, incoming("r", Vec::new()), ms(1));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_process_that_starts_begins_stages_once_it_has_heard_who_is_there() {
+fn a_starting_process_runs_stages_after_settling() {
     let setup = Setup { settling: ms(25), ..setup() };
     let mut core = GatewayCore::new(setup);
     let routes = vec![
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_member_that_is_new_is_told_at_once_who_is_there() {
+fn a_new_member_gets_the_member_list_at_once() {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
     let from = address(2);
     let hear = |core: &mut GatewayCore, now| {
@@ -102,7 +102,7 @@
 
 #[test_case("other", "key", &Refused::UnknownRoute; "no route")]
 #[test_case("r", "nobody's", &Refused::UnknownKey; "no such key")]
-fn what_the_configuration_does_not_allow_is_refused(path: &str, key: &str, expected: &Refused) {
+fn unknown_routes_and_keys_are_refused(path: &str, key: &str, expected: &Refused) {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
     let request = IncomingRequest { key: Some(key.to_owned()), ..incoming(path, Vec::new()) };
     let actions = submit(&mut core, 1, request, ms(0));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn the_longest_prefix_decides() {
+fn the_longest_path_prefix_wins() {
     let mut long = route("r", Repeat::AtMostOnce, &[]);
     long.path_prefix = "/r/x/".into();
     long.name = "long".into();
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn an_answer_is_passed_on_once_it_is_proved() {
+fn a_proved_answer_is_delivered_once() {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
     let actions = submit(&mut core, 1, incoming("r", Vec::new()), ms(0));
     let (attempt, order) = calls(&actions)[0].clone();
@@ -136,7 +136,7 @@
 
 #[test_case(AnswerProof { signed: false, ..good() }; "without signature")]
 #[test_case(AnswerProof { names_request: false, ..good() }; "another request's")]
-fn a_success_that_is_not_proved_is_no_answer(proof: AnswerProof) {
+fn an_unproved_success_is_not_delivered(proof: AnswerProof) {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
     let attempt = calls(&submit(&mut core, 1, incoming("r", Vec::new()), ms(0)))[0].0;
     let actions = core.handle(answered(attempt, proof), ms(20));
@@ -148,7 +148,7 @@
 
 #[test_case(CallFailure::Broken; "broken")]
 #[test_case(CallFailure::Silent; "silent")]
-fn what_may_have_run_is_not_run_again(failure: CallFailure) {
+fn a_request_that_may_have_run_is_not_run_again(failure: CallFailure) {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
     let attempt = calls(&submit(&mut core, 1, incoming("r", Vec::new()), ms(0)))[0].0;
     let actions = core.handle(Event::CallFailed { caller: 1, attempt, failure }, ms(20));
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn an_endpoint_that_takes_no_more_connections_has_not_run_and_another_one_is_asked() {
+fn a_refused_connection_is_retried_at_another_endpoint() {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
     let first = calls(&submit(&mut core, 1, incoming("r", Vec::new()), ms(0)))[0].clone();
     let failure = CallFailure::TurnedAway;
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn gateways_share_an_endpoints_connections_and_go_elsewhere_at_their_share() {
+fn gateways_share_the_connections_of_an_endpoint() {
     let mut spread = route("r", Repeat::AtMostOnce, &[]);
     spread.streams = true;
     let mut core = configured(vec![spread]);
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn what_may_be_repeated_goes_elsewhere_within_its_attempts() {
+fn an_idempotent_request_is_repeated_elsewhere_within_its_attempts() {
     let mut core = configured(vec![route("r", Repeat::Idempotent, &[])]);
     let (attempt, first) =
         calls(&submit(&mut core, 1, incoming("r", Vec::new()), ms(0)))[0].clone();
@@ -204,7 +204,7 @@
 
 #[test_case(AnswerProof { status: 503, not_run: true, ..AnswerProof::default() }; "full")]
 #[test_case(AnswerProof { status: 421, from_other_endpoint: true, ..AnswerProof::default() }; "another life")]
-fn a_proof_that_it_did_not_run_lets_it_go_elsewhere(proof: AnswerProof) {
+fn a_request_proved_not_run_goes_to_another_endpoint(proof: AnswerProof) {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
     let (attempt, first) =
         calls(&submit(&mut core, 1, incoming("r", Vec::new()), ms(0)))[0].clone();
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_caller_that_goes_away_stops_its_call() {
+fn a_disconnected_caller_cancels_its_call() {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
     let attempt = calls(&submit(&mut core, 1, incoming("r", Vec::new()), ms(0)))[0].0;
     let actions = core.handle(Event::CallerDisconnected { caller: 1 }, ms(10));
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn a_time_out_is_answered_at_once_and_ends_the_call() {
+fn a_timeout_is_answered_at_once_and_cancels_the_call() {
     let mut slow = route("r", Repeat::AtMostOnce, &[]);
     slow.timeout = ms(300);
     let mut core = configured(vec![slow]);
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn a_leaving_endpoint_gets_nothing_new_and_one_that_is_gone_neither() {
+fn leaving_and_removed_endpoints_get_no_new_requests() {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
     let mut leaving = (*endpoint("engine", 1)).clone();
     leaving.leaving = true;
@@ -258,7 +258,7 @@
 #[test_case(500, true; "a server error")]
 #[test_case(504, false; "time that was over")]
 #[test_case(404, false; "an answer")]
-fn an_endpoint_that_fails_what_may_not_be_repeated_is_avoided(status: u16, is_avoided: bool) {
+fn an_endpoint_with_server_errors_is_avoided(status: u16, is_avoided: bool) {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
     let mut failed = std::collections::HashSet::new();
     for at in [0, 10] {
@@ -276,7 +276,7 @@
 
 #[test_case(true, true; "resumed where the route allows it")]
 #[test_case(false, false; "broken off otherwise")]
-fn a_stream_that_breaks(resumable: bool, goes_on: bool) {
+fn a_broken_stream_is(resumable: bool, goes_on: bool) {
     let mut streaming = route("r", Repeat::AtMostOnce, &[]);
     streaming.streams = true;
     streaming.resumable = resumable;
@@ -292,7 +292,7 @@
 }
 
 #[test]
-fn a_stopping_gateway_is_not_ready_and_refuses_after_a_while_as_not_run() {
+fn a_stopping_gateway_is_not_ready_and_later_refuses_as_not_run() {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
     let actions = core.handle(Event::Drain { at: ms(100) }, ms(100));
     assert!(actions.iter().any(|a| matches!(a, Action::SetReady(false))));
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn a_configuration_never_goes_back() {
+fn an_older_configuration_is_not_applied() {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
     publish(&mut core, deployment(5, vec![route("new", Repeat::AtMostOnce, &[])]), ms(10));
     publish(&mut core, deployment(4, vec![route("r", Repeat::AtMostOnce, &[])]), ms(20));
@@ -354,7 +354,7 @@
 }
 
 #[test]
-fn what_a_lost_owner_had_goes_on_at_once_with_what_was_made() {
+fn jobs_of_an_unreachable_owner_continue_with_the_produced_results() {
     let (mut core, owner) = with_one_stage_made();
     let broke = Event::PeerInboundFailed { address: owner, incarnation: 5 };
     core.handle(broke, ms(400));
@@ -363,7 +363,7 @@
 }
 
 #[test]
-fn an_owner_that_was_restarted_has_lost_what_it_had() {
+fn jobs_of_a_restarted_owner_continue_elsewhere() {
     let (mut core, owner) = with_one_stage_made();
     let mut restarted = serving(owner.port());
     (restarted.incarnation, restarted.state) = (6, MemberState::Starting);
@@ -374,7 +374,7 @@
 
 #[test_case(Event::PeerOutboundFailed { address: address(0) }; "the connection to it")]
 #[test_case(Event::PeerInboundFailed { address: address(0), incarnation: 5 }; "the connection from it")]
-fn an_owner_whose_connection_was_reset_keeps_what_it_has_and_tells_it_again(event: Event) {
+fn jobs_are_submitted_again_to_an_owner_after_a_connection_reset(event: Event) {
     let (mut core, owner) = with_one_stage_made();
     let event = match event {
         Event::PeerInboundFailed { incarnation, .. } => {
@@ -398,7 +398,7 @@
 }
 
 #[test]
-fn a_gateway_that_stood_still_waits_for_what_its_owner_may_have_said_meanwhile() {
+fn a_resumed_gateway_waits_for_unread_messages_of_its_owner() {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10), ("second", &[0], 10)]);
     let (mut core, port) = beside_an_owner(&route);
     let actions = core.handle(Event::Tick, ms(700));
@@ -409,7 +409,7 @@
 }
 
 #[test]
-fn an_owner_that_does_not_decide_is_passed_over() {
+fn a_job_is_taken_over_when_its_owner_does_not_decide() {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10), ("second", &[0], 10)]);
     let (mut core, port) = beside_an_owner(&route);
     let actions = core.handle(Event::Tick, ms(260));
@@ -419,7 +419,7 @@
 }
 
 #[test]
-fn an_endpoint_that_does_not_tell_how_it_stands_leaves_a_line() {
+fn a_failed_report_is_logged() {
     let mut core = configured(vec![]);
     let actions = core.handle(Event::ReportFailed { endpoint: "first-1".into() }, ms(1));
     let is_told = |a: &Action| matches!(a, Action::Log(LogEvent::NoReport { endpoint }) if **endpoint == *"first-1");
--- a/tests/direct_restarts.rs
+++ b/tests/direct_restarts.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_life_is_told_from_an_entry_that_only_changed() {
+fn a_new_incarnation_differs_from_a_changed_entry() {
     let mut documents = Documents::default();
     assert!(documents.merge(vec![entry(7, 1)], ms(0)).restarted.is_empty(), "it is new");
     let mut changed = (*living("engine", 1, 7)).clone();
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn what_may_not_run_twice_and_was_with_the_life_before_may_have_run() {
+fn a_request_at_the_previous_incarnation_has_an_unknown_outcome() {
     let (mut core, attempt) = called(Repeat::AtMostOnce);
     let actions = restart(&mut core, 5, ms(50));
     let noted = |a: &&Action| matches!(a, Action::Log(LogEvent::Restarted { incarnation: 9, .. }));
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn what_may_run_twice_is_sent_again_elsewhere() {
+fn an_idempotent_request_is_repeated_elsewhere() {
     let (mut core, _) = called(Repeat::Idempotent);
     let documents = listed(&[living("engine", 2, 3)], 6);
     core.handle(Event::Published { documents, snapshot_at: None }, ms(10));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_stream_that_is_passed_on_is_left_to_its_connection() {
+fn a_restart_does_not_abort_an_open_stream() {
     let (mut core, attempt) = called(Repeat::Idempotent);
     core.handle(Event::Answered { caller: 1, attempt, proof: good(), is_open: true }, ms(20));
     let actions = restart(&mut core, 5, ms(50));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn load_and_failures_of_the_life_before_are_forgotten() {
+fn load_and_failures_of_the_previous_incarnation_are_forgotten() {
     let (mut core, attempt) = called(Repeat::Idempotent);
     let full = AnswerProof { load: Some((64, 64, 64)), ..good() };
     core.handle(answered(attempt, full), ms(5));
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_call_to_the_life_before_is_made_again_at_once() {
+fn a_batch_call_to_the_previous_incarnation_is_repeated_at_once() {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10)]);
     let mut table = table(vec![route.clone()]);
     let mut scheduler = scheduler();
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn results_that_the_life_before_kept_are_made_again() {
+fn results_of_the_previous_incarnation_are_produced_again() {
     let stages: &[(&str, &[usize], u64)] =
         &[("first", &[], 10), ("second", &[], 10), ("third", &[0, 1], 10)];
     let route = route("r", Repeat::AtMostOnce, stages);
@@ -195,7 +195,7 @@
 #[test_case(9, true; "of the life that is listed")]
 #[test_case(8, false; "of another one")]
 #[test_case(0, true; "that does not say")]
-fn a_report_counts_for_the_life_that_it_is_about(incarnation: u64, is_taken: bool) {
+fn a_report_applies_to_its_incarnation(incarnation: u64, is_taken: bool) {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10)]);
     let mut table = table(vec![route]);
     restarted(&mut table, "first-1");
--- a/tests/direct_results.rs
+++ b/tests/direct_results.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn results_are_freed_once_the_endpoint_has_fetched_them_and_made_again_if_it_fails() {
+fn results_are_freed_once_fetched_and_produced_again_after_a_failure() {
     let mut core = configured(vec![staged(Repeat::Idempotent)]);
     let (freed, now) = freed_after(&mut core, 9, 61);
     assert_eq!(freed, [61, 61, 61, 61, 61, 61, 61, 61, 61], "by evidence");
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn results_that_were_freed_too_early_are_told_of_and_made_again_and_then_kept_longer() {
+fn results_freed_too_early_are_logged_produced_again_and_kept_longer() {
     let mut core = configured(vec![staged(Repeat::AtMostOnce)]);
     let (_, now) = freed_after(&mut core, 8, 61);
     let actions = submit(&mut core, 1, incoming("r", vec![2, 1]), now);
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn results_are_kept_until_the_first_event_where_the_endpoint_has_no_free_place() {
+fn results_are_kept_until_the_first_event_if_the_endpoint_has_no_free_slot() {
     let plain = route("plain", Repeat::AtMostOnce, &[]);
     let mut core = configured(vec![staged(Repeat::Idempotent), plain]);
     let (_, now) = freed_after(&mut core, 8, 61);
--- a/tests/direct_scheduler.rs
+++ b/tests/direct_scheduler.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_graph_of_stages_runs_in_order_and_ends_ready() {
+fn stages_run_in_order_until_the_job_is_ready() {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10), ("second", &[0], 10)]);
     let table = table(vec![route.clone()]);
     let mut scheduler = scheduler();
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn results_that_are_gone_are_made_again_from_the_first_stage_that_was_freed() {
+fn lost_results_are_produced_again_from_the_first_freed_stage() {
     let stages: &[(&str, &[usize], u64)] =
         &[("first", &[], 10), ("second", &[0], 10), ("third", &[1], 10)];
     let route = route("r", Repeat::AtMostOnce, stages);
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn room_is_counted_and_given_back() {
+fn result_memory_is_reserved_and_released() {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 400)]);
     let table = table(vec![route.clone()]);
     let mut scheduler = scheduler();
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn what_would_not_find_room_is_refused_untouched_and_at_once() {
+fn a_job_without_result_memory_is_refused_as_not_started() {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 300)]);
     let table = table(vec![route.clone()]);
     let mut scheduler = scheduler();
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_full_endpoint_is_asked_again_and_the_piece_goes_elsewhere_meanwhile() {
+fn pieces_refused_by_a_full_endpoint_go_to_another() {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10)]);
     let table = table(vec![route.clone()]);
     let mut scheduler = scheduler();
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_call_that_is_overdue_is_made_elsewhere_and_its_late_results_are_freed() {
+fn an_overdue_call_is_repeated_elsewhere_and_its_late_results_are_freed() {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10)]);
     let table = table(vec![route.clone()]);
     let mut scheduler = scheduler();
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn a_call_that_fails_after_its_inputs_were_freed_has_them_made_again() {
+fn freed_inputs_of_a_failed_call_are_produced_again() {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10), ("second", &[0], 10)]);
     let table = table(vec![route.clone()]);
     let mut scheduler = scheduler();
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn inputs_are_kept_where_another_owner_may_call_the_same_endpoints() {
+fn inputs_are_kept_if_another_owner_may_call_the_same_endpoints() {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10), ("second", &[0], 10)]);
     let table = table(vec![route.clone()]);
     let mut scheduler = scheduler();
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn a_job_that_is_submitted_again_is_told_how_it_stands_and_runs_once() {
+fn a_job_submitted_again_gets_its_state_and_runs_once() {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10)]);
     let table = table(vec![route.clone()]);
     let mut scheduler = scheduler();
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn repeats_end_with_the_budget() {
+fn repeats_end_when_the_budget_is_exhausted() {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10)]);
     let table = table(vec![route.clone()]);
     let bounds = RepeatBudget { ratio: 0.0, slack: 2.0, window: Duration::from_secs(10) };
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn results_of_an_unfinished_job_are_freed_when_its_gateway_is_gone() {
+fn results_of_an_unfinished_job_are_freed_when_its_gateway_is_removed() {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10), ("second", &[0], 10)]);
     let table = table(vec![route.clone()]);
     let mut scheduler = scheduler();
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn a_new_owner_goes_on_with_what_the_old_one_had_made() {
+fn a_new_owner_continues_with_the_results_of_the_old_one() {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10), ("second", &[0], 10)]);
     let table = table(vec![route.clone()]);
     let mut scheduler = scheduler();
@@ -348,7 +348,7 @@
 }
 
 #[test]
-fn an_owner_that_begins_asks_what_its_endpoints_hold_and_plans_with_the_rest() {
+fn a_new_owner_requests_reports_and_plans_with_the_free_memory() {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 100)]);
     let table = table(vec![route.clone()]);
     let mut scheduler = scheduler();
@@ -377,7 +377,7 @@
 }
 
 #[test]
-fn an_endpoint_without_room_is_asked_what_it_holds() {
+fn an_endpoint_without_result_memory_gets_a_report_request() {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10)]);
     let table = table(vec![route.clone()]);
     let mut scheduler = scheduler();
@@ -391,7 +391,7 @@
 // A burst that leaves a queue in every pool, so that result memory is scarce. With calls of four
 // pieces, the second of two stages of three pieces would need two calls.
 #[test]
-fn a_stage_goes_with_others_only_as_a_whole() {
+fn a_stage_shares_a_call_only_if_it_fits_completely() {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10)]);
     let table = roomy(vec![route.clone()], "first-2");
     let mut scheduler = scheduler();
@@ -434,7 +434,7 @@
 }
 
 #[test]
-fn a_stage_of_small_results_binds_no_other_to_its_data_centre() {
+fn small_results_do_not_bind_the_next_stage_to_their_data_centre() {
     let stages: &[(&str, &[usize], u64)] =
         &[("first", &[], 10), ("second", &[0], 400_000), ("third", &[1], 10)];
     let route = route("r", Repeat::AtMostOnce, stages);
@@ -453,7 +453,7 @@
 }
 
 #[test]
-fn pieces_wait_for_their_data_centre_as_long_as_its_next_calls_hold_them() {
+fn pieces_wait_for_their_data_centre_only_while_its_next_calls_hold_them() {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 400_000)]);
     let table = roomy(vec![route.clone()], "");
     let mut scheduler = scheduler();
--- a/tests/direct_schedules.rs
+++ b/tests/direct_schedules.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn random_schedules_of_several_gateways_keep_every_promise() {
+fn random_schedules_of_several_gateways_keep_all_guarantees() {
     let first = number("STACKMAST_SEED", 1);
     let count = number("STACKMAST_SCHEDULES", SCHEDULES);
     let mut answered = 0;
@@ -41,7 +41,7 @@
 // 400 schedules run three times, one or two differed while requests of a lost owner were continued
 // in such an order.
 #[test]
-fn a_schedule_runs_the_same_way_each_time() {
+fn schedules_are_deterministic() {
     for seed in 1..=60 {
         let happenings = || {
             let mut world = World::new(seed);
@@ -55,7 +55,7 @@
 // Streams last up to 6.5 s and several gateways are stopped at once: a stream that a gateway
 // accepts later than three seconds after its signal is complete before the process ends.
 #[test]
-fn random_schedules_with_planned_stops_cut_nothing_that_was_taken_late() {
+fn planned_stops_cut_no_late_accepted_streams() {
     let first = number("STACKMAST_SEED", 1);
     let count = number("STACKMAST_SCHEDULES", STOP_SCHEDULES);
     let (mut ended, mut served_late, mut cut, mut jobs_left) = (0, 0, 0, 0);
@@ -85,7 +85,7 @@
 // Endpoints announce in responses that they leave or pause: a gateway that has received the
 // announcement sends nothing that it excludes, whatever else happens.
 #[test]
-fn random_schedules_of_endpoints_that_say_what_they_want_keep_to_it() {
+fn gateways_respect_status_headers_in_random_schedules() {
     let first = number("STACKMAST_SEED", 1);
     let count = number("STACKMAST_SCHEDULES", SCHEDULES);
     let (mut said, mut checked) = (0, 0);
@@ -108,7 +108,7 @@
 
 // Without faults, every request that can be served is served, and all results are freed.
 #[test]
-fn a_calm_schedule_serves_all_and_frees_all() {
+fn a_schedule_without_faults_serves_all_requests_and_frees_all_results() {
     for seed in 1..20 {
         let mut world = World::new(seed);
         world.trouble = 0.0;
--- a/tests/direct_standstill.rs
+++ b/tests/direct_standstill.rs
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test]
-async fn a_core_is_told_that_its_process_stood_still_and_counts_the_time() {
+async fn a_core_is_notified_of_a_suspension_and_its_duration() {
     let (clock, suspended) = clock();
     let (handle, mailbox) = actor::mailbox_with::<Told>(clock);
     let (sender, told) = std::sync::mpsc::channel();
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn what_a_suspension_has_used_up_is_not_waited_for_after_it() {
+async fn sleeps_that_end_during_a_suspension_end_on_resume() {
     let (clock, suspended) = clock();
     let (handle, mailbox) = actor::mailbox_with::<Told>(clock);
     let (sender, _told) = std::sync::mpsc::channel();
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn others_are_not_taken_for_silent_before_they_could_be_heard() {
+fn peers_are_not_silent_before_their_messages_can_be_read() {
     let mut core = configured(vec![route("r", Repeat::Idempotent, &[])]);
     hear_of(&mut core, vec![serving(2), serving(3)], ms(1_000));
     let actions = stand_still(&mut core, ms(1_200), ms(6_200));
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn an_answer_that_came_meanwhile_is_delivered_and_its_call_not_repeated() {
+fn an_answer_received_during_a_suspension_is_delivered_without_a_repeat() {
     let mut core = configured(vec![route("r", Repeat::Idempotent, &[])]);
     let attempt = calls(&submit(&mut core, 1, incoming("r", vec![]), ms(1_000)))[0].0;
     let actions = stand_still(&mut core, ms(1_100), ms(6_100));
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_call_that_nothing_came_of_is_repeated_or_given_up_soon_after() {
+fn an_unanswered_call_is_repeated_or_timed_out_after_a_suspension() {
     let mut core = configured(vec![route("r", Repeat::Idempotent, &[])]);
     submit(&mut core, 1, incoming("r", vec![]), ms(1_000));
     stand_still(&mut core, ms(1_100), ms(3_600));
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn pieces_that_were_made_meanwhile_are_taken_in_and_not_made_again() {
+fn pieces_produced_during_a_suspension_are_not_produced_again() {
     let staged = route("s", Repeat::AtMostOnce, &[("first", &[], 10)]);
     let mut core = configured(vec![staged]);
     let actions = submit(&mut core, 1, incoming("s", vec![1]), ms(1_000));
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_report_that_lay_unread_is_not_how_an_endpoint_stands_now() {
+fn a_report_from_before_a_suspension_is_ignored() {
     let staged = route("s", Repeat::AtMostOnce, &[("first", &[], 10)]);
     let mut core = configured(vec![staged]);
     submit(&mut core, 1, incoming("s", vec![1]), ms(1_000));
--- a/tests/direct_stops.rs
+++ b/tests/direct_stops.rs
@@ -64,7 +64,7 @@
 // ended. A seeded soak test found later that the durations of short streams don't bound that of the
 // next one: the long streams of a route end last.
 #[test]
-fn what_can_not_end_before_the_process_is_refused_at_the_door() {
+fn requests_that_may_outlast_the_process_are_refused_on_arrival() {
     let mut core = configured(vec![stream("long"), stream("short"), plain()]);
     for number in 0..8 {
         serve(&mut core, 10 + number, "long", ms(5_000));
@@ -130,7 +130,7 @@
 
 #[test_case(2_000, true; "early enough")]
 #[test_case(6_500, false; "too late for the run")]
-fn what_comes_out_of_its_stages_runs_only_if_its_run_can_end(after: u64, runs: bool) {
+fn a_request_with_finished_stages_runs_only_if_its_run_can_end(after: u64, runs: bool) {
     let submitted = SIGNAL + ms(1_000);
     let (mut core, port) = beside_an_owner(submitted);
     let (from, job) = (address(port), JobId { gateway: address(1), incarnation: 1, number: 3 });
@@ -163,7 +163,7 @@
 // Regression test (issue 18): the short durations of refusals were used to predict those of other
 // requests.
 #[test]
-fn what_failed_fast_is_no_experience() {
+fn durations_of_refusals_are_not_recorded() {
     let mut core = configured(vec![plain()]);
     for number in 0..8 {
         serve_plain(&mut core, 10 + number, "plain", ms(5_000));
@@ -186,7 +186,7 @@
 #[test_case(0, 3_100, true; "in time")]
 #[test_case(0, 3_300, false; "too late")]
 #[test_case(400, 3_300, false; "too late, and the signal was heard late")]
-fn the_end_counts_from_the_signal_not_from_when_the_core_heard_of_it(
+fn the_grace_period_starts_with_the_signal_not_with_its_event(
     heard_after: u64,
     asked_after: u64,
     is_taken: bool,
@@ -256,13 +256,13 @@
 #[test_case(&[], 4_000, 1_200; "alone")]
 #[test_case(&[leaving(2)], 4_000, 1_000; "another that stops, too, and ends as soon as it may")]
 #[test_case(&[leaving(2), serving(3)], 2_000, 100; "one of two serves")]
-fn callers_come_back_when_a_gateway_is_expected_back(others: &[Member], after: u64, least: u64) {
+fn callers_retry_when_a_gateway_is_expected_back(others: &[Member], after: u64, least: u64) {
     let told = told_to_come_back(others, after);
     assert!(told >= ms(least) && told <= ms(least).mul_f64(1.9) + ms(100), "{told:?}");
 }
 
 #[test]
-fn one_that_is_dead_for_long_is_not_waited_for() {
+fn a_gateway_that_failed_long_ago_is_not_waited_for() {
     let mut core = configured(vec![stream("long")]);
     hear_of(&mut core, vec![serving(2)], ms(1_000));
     core.handle(Event::Tick, ms(3_000));
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn before_the_process_ends_what_has_no_answer_gets_one() {
+fn unanswered_requests_are_answered_before_the_process_ends() {
     let mut core = configured(vec![stream("long"), staged()]);
     submit(&mut core, 1, patient("long", Vec::new()), SIGNAL - ms(500));
     core.handle(Event::Drain { at: SIGNAL }, SIGNAL);
@@ -314,7 +314,11 @@
 #[test_case(3_300, 4_100, true; "late, and ends before the process")]
 #[test_case(3_300, 4_300, false; "late, and may end after the process")]
 #[test_case(3_500, 100, false; "too late for anything new")]
-fn a_stopping_owner_takes_new_jobs_of_others_only_if_they_end(after: u64, lasts: u64, takes: bool) {
+fn a_stopping_owner_accepts_new_jobs_of_others_only_if_they_can_end(
+    after: u64,
+    lasts: u64,
+    takes: bool,
+) {
     let mut core = configured(vec![staged()]);
     core.handle(Event::Drain { at: SIGNAL }, SIGNAL);
     let job = job_of(3, ms(lasts));
@@ -326,7 +330,7 @@
 }
 
 #[test]
-fn a_stopping_owner_goes_on_with_a_job_that_it_has_and_tells_again_how_it_stands() {
+fn a_stopping_owner_continues_its_jobs_and_resends_their_state() {
     let mut core = configured(vec![staged()]);
     let job = job_of(3, ms(20_000));
     let begun = submit_job(&mut core, &job, SIGNAL - ms(100));
@@ -356,7 +360,7 @@
 // The serving owner has just refused; the stopping one accepts the job of its own request, but no
 // jobs of other gateways.
 #[test]
-fn a_stopping_owner_takes_the_jobs_of_its_own_requests() {
+fn a_stopping_owner_accepts_the_jobs_of_its_own_requests() {
     let mut core = configured(vec![staged(), stream("long")]);
     serve(&mut core, 1, "long", ms(100));
     serve_staged(&mut core);
@@ -390,7 +394,7 @@
 // Long streams end late: if only short ones have ended, the running ones show how long a stream may
 // take.
 #[test]
-fn what_still_runs_for_longer_than_is_left_is_experience_too() {
+fn running_requests_count_as_lower_bounds_of_durations() {
     let mut core = configured(vec![stream("s")]);
     (1..=8).for_each(|caller| serve(&mut core, caller, "s", ms(500)));
     let now = SIGNAL + ms(3_060);
--- a/tests/direct_upgrades.rs
+++ b/tests/direct_upgrades.rs
@@ -72,7 +72,7 @@
 
 // An owner is replaced in place by an older build while jobs are on their way to it.
 #[tokio::test]
-async fn a_peer_that_is_replaced_in_place_by_another_build_gets_what_it_reads() {
+async fn a_peer_replaced_in_place_by_another_build_gets_json() {
     let (at, peers, _core) = gateway().await;
     let owner = TcpListener::bind(address(0)).await.expect("a port");
     let owner_at = owner.local_addr().expect("its address");
@@ -103,7 +103,7 @@
 }
 
 #[tokio::test]
-async fn a_peer_that_greets_on_the_connection_gets_the_compact_form_and_no_longer_than_that() {
+async fn the_compact_form_is_used_only_on_a_connection_with_a_greeting() {
     let (_at, peers, _core) = gateway().await;
     let other = TcpListener::bind(address(0)).await.expect("a port");
     let other_at = other.local_addr().expect("its address");
@@ -140,7 +140,7 @@
 }
 
 #[tokio::test]
-async fn two_gateways_of_this_build_speak_compactly() {
+async fn two_gateways_of_this_build_recognise_each_other() {
     let (first, peers, _core) = gateway().await;
     let (second, _, core) = gateway().await;
     assert_ne!(first, second);
@@ -153,7 +153,7 @@
 }
 
 #[tokio::test]
-async fn what_is_in_a_form_that_is_not_known_ends_its_connection_at_once() {
+async fn a_frame_of_an_unknown_form_ends_its_connection() {
     let (at, _peers, core) = gateway().await;
     let mut older = framed(TcpStream::connect(at).await.expect("a connection"));
     older.send(greeting(address(9), 2)).await.expect("sent");
@@ -168,7 +168,7 @@
 }
 
 #[tokio::test]
-async fn a_message_that_is_not_known_does_not_end_its_connection() {
+async fn an_unknown_message_does_not_end_its_connection() {
     let (at, _peers, _core) = gateway().await;
     let mut later = framed(TcpStream::connect(at).await.expect("a connection"));
     later.send(greeting(address(9), FORM + 1)).await.expect("sent");
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn whoever_submits_a_job_that_is_not_read_hears_it_at_once() {
+fn an_unreadable_submission_is_refused_at_once() {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[("first", &[], 10)])]);
     let (from, job) = (address(5), job_id(3));
     let unread = Unreadable::Message { job: Some(job) };
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_job_that_an_owner_refuses_unread_goes_to_another_one_at_once() {
+fn a_job_refused_as_unreadable_goes_to_another_owner() {
     let routes = vec![route("r", Repeat::AtMostOnce, &[("first", &[], 10)])];
     let mut core = configured(routes);
     hear_of(&mut core, (2..=4).map(serving).collect(), ms(10));
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn on_call_is_told_of_peers_of_another_build_first_and_last() {
+fn peers_of_another_build_are_logged_when_first_and_last_seen() {
     let mut core = configured(Vec::new());
     let build = Build { version: "0.0.9".to_owned(), commit: None, form: 3 };
     let greet = |core: &mut GatewayCore, incarnation, build: &Build| {
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn an_older_builds_silence_takes_nothing_back() {
+fn fields_missing_from_an_older_build_change_nothing() {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
     let statement = Statement { leaving: true, ..Statement::default() };
     let (leaving, asked) = (endpoint("engine", 1), CallKind::Request);
--- a/tests/era_schedules.rs
+++ b/tests/era_schedules.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn nothing_goes_back_with_the_store_and_nobody_alive_is_lost() {
+fn a_restored_store_reverts_nothing_and_live_endpoints_stay_in_use() {
     let first = number("STACKMAST_SEED", 1);
     let count = number("STACKMAST_SCHEDULES", SCHEDULES);
     let (mut returns, mut looks, mut failed) = (0, 0, Vec::new());
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -93,7 +93,7 @@
 #[test_case(Break::CutEngine; "the link to its engine is cut")]
 #[test_case(Break::EngineFails; "its engine fails in the middle")]
 #[test_case(Break::EngineStalls; "its engine stalls")]
-fn a_repeatable_request_gets_its_whole_answer_when(what: Break) {
+fn a_repeatable_request_gets_its_complete_answer_when(what: Break) {
     run(async move {
         let mut fleet = testenv::fleet(testenv::small()).await;
         let mut ask = repeatable(long("long"));
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_gateway_that_is_stopped_cuts_off_nothing_and_refuses_the_rest_as_not_run() {
+fn a_stopped_gateway_completes_its_requests_and_refuses_new_ones_as_not_run() {
     run(async {
         let mut fleet = testenv::fleet(testenv::small()).await;
         let mut streamed = long("streamed");
@@ -205,7 +205,7 @@
 
 #[test_case(false; "while all is well")]
 #[test_case(true; "while the platform is down")]
-fn an_agent_that_is_stopped_cuts_off_nothing_and_takes_no_new_work(platform_down: bool) {
+fn a_stopped_agent_completes_its_work_and_accepts_no_new_work(platform_down: bool) {
     run(async move {
         let mut fleet = testenv::fleet(testenv::small()).await;
         let ask = long("long");
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn a_repeat_right_behind_an_answer_gets_that_answer() {
+fn a_repeat_right_after_an_answer_gets_the_same_answer() {
     run(async {
         let fleet = testenv::fleet(testenv::small()).await;
         for round in 0..100 {
@@ -334,7 +334,7 @@
 }
 
 #[test]
-fn a_ticket_whose_home_has_restarted_is_void_and_runs_nothing() {
+fn a_ticket_is_void_after_its_agent_restarted() {
     run(async {
         let mut fleet = testenv::fleet(testenv::small()).await;
         let ask = with_ticket(&fleet, "void").await;
@@ -369,7 +369,7 @@
 }
 
 #[test]
-fn a_frozen_gateway_that_wakes_up_late_doubles_nothing() {
+fn a_gateway_resumed_late_repeats_nothing() {
     run(async {
         let fleet = testenv::fleet(testenv::small()).await;
         for name in ["notifier-0", "notifier-1"] {
--- a/tests/kept_frames.rs
+++ b/tests/kept_frames.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn this_build_writes_its_form_as_it_is_kept() {
+fn this_build_writes_its_form_as_stored() {
     let (kept, own) = (kept(FORM), own());
     assert_eq!(kept.form, own.form);
     for (kind, frame) in &own.frames {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn each_kind_of_message_is_kept() {
+fn each_kind_of_message_is_stored() {
     let frames = own().frames;
     let kind = |frame: &Frame| frame.compact_bytes().expect("hexadecimal")[MARK_AND_FORM];
     let kinds: BTreeSet<u8> = frames.values().map(kind).collect();
@@ -54,7 +54,7 @@
 #[test_case(EARLIER)]
 #[test_case(FIRST)]
 #[test_case(2)]
-fn what_the_last_landings_write_as_json_is_read(form: u32) {
+fn json_of_earlier_releases_is_read(form: u32) {
     for (kind, frame) in kept(form).frames {
         let message = read(&frame.json_bytes(), form);
         assert_eq!(message.as_ref().map(PeerMessage::kind), Ok(&*kind));
@@ -65,7 +65,7 @@
 #[test_case(BEFORE)]
 #[test_case(EARLIER)]
 #[test_case(FIRST)]
-fn what_the_last_landings_write_compactly_is_read_as_its_json(form: u32) {
+fn compact_frames_of_earlier_releases_are_read_like_their_json(form: u32) {
     for (kind, frame) in kept(form).frames {
         let compact = frame.compact_bytes().expect("hexadecimal");
         assert_eq!(read(&compact, form), read(&frame.json_bytes(), form), "{kind}");
@@ -76,7 +76,7 @@
 #[test_case(FORM)]
 #[test_case(BEFORE)]
 #[test_case(EARLIER)]
-fn a_frame_without_the_mark_that_its_form_has_is_not_read(form: u32) {
+fn an_unmarked_frame_of_a_marked_form_is_not_read(form: u32) {
     for (kind, frame) in kept(form).frames {
         let compact = frame.compact_bytes().expect("hexadecimal");
         let unmarked = &compact[MARK_AND_FORM..];
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn what_earlier_landings_write_compactly_is_not_guessed_at() {
+fn compact_frames_of_unsupported_forms_are_rejected() {
     for (kind, frame) in kept(2).frames {
         let compact = frame.compact_bytes().expect("hexadecimal");
         assert_eq!(read(&compact, 2), Err(Unreadable::Form(2)), "{kind}");
@@ -115,7 +115,7 @@
 #[test_case(EARLIER)]
 #[test_case(FIRST)]
 #[test_case(2)]
-fn what_this_build_writes_fits_the_schema_of_the_last_landings(form: u32) {
+fn json_of_this_build_fits_the_schema_of_earlier_releases(form: u32) {
     let own = own().frames;
     for (kind, older) in kept(form).frames {
         let newer = own.get(&kind).unwrap_or_else(|| panic!("{kind} is not written any more"));
@@ -127,7 +127,7 @@
 #[test_case(r#"{"a":{"b":[{"c":1}]}}"#, r#"{"a":{"b":[{"c":1,"d":2}]}}"#, true; "more")]
 #[test_case(r#"{"a":{"b":[{"c":1}]}}"#, r#"{"a":{"b":[{"d":2}]}}"#, false; "less")]
 #[test_case(r#"{"a":{"b":[{"c":1}]}}"#, r#"{"a":{"b":[{"c":"1"}]}}"#, false; "another shape")]
-fn a_schema_is_fitted_as_a_reader_would(older: &str, newer: &str, expected: bool) {
+fn the_schema_check_ignores_unknown_fields_only(older: &str, newer: &str, expected: bool) {
     let parse = |text| serde_json::from_str::<Value>(text).expect("JSON");
     assert_eq!(fits(&parse(older), &parse(newer)).is_ok(), expected);
 }
--- a/tests/labels.rs
+++ b/tests/labels.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn refuses_what_is_too_long() {
+fn refuses_a_selector_that_is_too_long() {
     let len = MAX_SELECTOR_LEN + 1;
     assert_eq!(Selector::parse(&"a".repeat(len)), Err(SelectorError::TooLong { len }));
 }
@@ -56,7 +56,7 @@
     }
 
     #[test]
-    fn what_is_shown_parses_to_the_same(text in "[a-c]( in \\([x-z](,[x-z])?\\)|=[x-z]|!=[x-z])?(,![d-f])?") {
+    fn display_output_parses_to_the_same_selector(text in "[a-c]( in \\([x-z](,[x-z])?\\)|=[x-z]|!=[x-z])?(,![d-f])?") {
         let parsed = Selector::parse(&text).expect("it parses");
         prop_assert_eq!(Selector::parse(&parsed.to_string()), Ok(parsed));
     }
--- a/tests/limit_schedules.rs
+++ b/tests/limit_schedules.rs
@@ -73,7 +73,7 @@
 #[test_case(100, Work::Spread, 1.0, 0.7; "a hundred")]
 #[test_case(100, Work::Spread, 10.0, 0.7; "a hundred, and a higher limit")]
 #[test_case(100, Work::AtOne, 1.0, 0.5; "a hundred of which one has all the work")]
-fn what_is_allowed_is_used(gateways: usize, work: Work, limit: f64, share: f64) {
+fn the_allowed_rate_is_used(gateways: usize, work: Work, limit: f64, share: f64) {
     let shape = Shape { gateways, work, pressure: 60.0, is_troubled: false };
     let mut fleet = Fleet::new(7, shape);
     fleet.names(0, Some(limit), ms(5_000));
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_tool_ends_with_codes_that_scripts_can_use() {
+async fn the_tool_exits_with_distinct_codes() {
     let mut fleet = testenv::fleet(testenv::small()).await;
     let unknown = tool(&fleet, &["explain", "gateway-0.0000000000000001.1"]).await;
     assert_eq!(unknown.status.code(), Some(5));
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_half_sent_body_is_refused_in_time_and_takes_nothing_from_others() {
+async fn an_incomplete_body_times_out_and_does_not_affect_others() {
     let fleet = testenv::fleet(testenv::small()).await;
     let mut slow = TcpStream::connect(fleet.callers(0)).await.expect("connected");
     let head =
@@ -104,7 +104,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bytes_that_are_no_request_take_nothing_from_others() {
+async fn invalid_bytes_do_not_affect_others() {
     let fleet = testenv::fleet(testenv::small()).await;
     let gateway = &fleet.gateways[0];
     for address in [fleet.callers(0), gateway.internal, gateway.admin] {
@@ -116,7 +116,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_streaming_caller_who_goes_away_leaves_nothing_in_flight() {
+async fn a_disconnected_streaming_caller_leaves_nothing_in_flight() {
     let fleet = testenv::fleet(testenv::small()).await;
     let mut ask = Ask::new("guest-reply", "keepers-0", "gone");
     ask.tokens = 500;
@@ -138,7 +138,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn any_body_is_answered_in_kind_and_takes_nothing_from_others() {
+async fn malformed_bodies_are_refused_and_do_not_affect_others() {
     let fleet = testenv::fleet(testenv::small()).await;
     let client = Client::default();
     let good =
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_refuses_what_is_older_than_it_has_taken() {
+async fn an_engine_refuses_an_older_order() {
     let mut fleet = testenv::fleet(testenv::small()).await;
     testenv::until("it is loaded", || async { !loaded(&fleet).is_empty() }).await;
     // As if another incarnation of the agent, with a later configuration, had sent an order while
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -35,14 +35,14 @@
 }
 
 #[test]
-fn a_chain_takes_the_time_of_its_stages_one_after_the_other() {
+fn the_predicted_time_of_a_chain_is_the_sum_of_its_stages() {
     let stages = [stage(&[]), stage(&[0]), stage(&[])];
     let decision = admit_path(&stages, AFTER, OBJECTIVE, 0);
     assert_eq!((decision.refusal, decision.predicted), (None, ms(700)));
 }
 
 #[test]
-fn what_would_end_too_late_is_refused_with_the_excess_as_time_to_come_back() {
+fn a_late_request_is_refused_with_the_excess_as_retry_time() {
     let mut late = stage(&[]);
     late.backlog = ms(5_000);
     let decision = admit_path(&[late], AFTER, OBJECTIVE, 0);
@@ -54,7 +54,7 @@
 #[test_case(0, 900, Some(PathRefusal::NoRoom); "still taken when it begins")]
 #[test_case(350, 900, Some(PathRefusal::NoRoom); "taken meanwhile")]
 #[test_case(1_500, 2_500, None; "taken after it has ended")]
-fn room_counts_at_the_time_when_a_stage_needs_it(
+fn memory_counts_at_the_time_when_a_stage_needs_it(
     from: u64,
     until: u64,
     refusal: Option<PathRefusal>,
@@ -67,14 +67,14 @@
 }
 
 #[test]
-fn what_is_larger_than_the_planned_room_still_fits_an_empty_pool() {
+fn a_request_above_the_planned_share_fits_an_empty_pool() {
     let mut large = stage(&[]);
     large.wanted = 95.0;
     assert_eq!(admit_path(&[large], AFTER, OBJECTIVE, 2).refusal, None);
 }
 
 #[test]
-fn a_stage_that_stands_alone_needs_its_room_only_when_the_others_end() {
+fn an_independent_stage_needs_its_memory_only_when_the_others_end() {
     let mut alone = stage(&[]);
     alone.taken = taken(0, 180, 95.0);
     let decision = admit_path(&[stage(&[]), stage(&[0]), alone.clone()], AFTER, OBJECTIVE, 0);
@@ -85,7 +85,7 @@
 
 #[test_case(700, 700; "when there will be")]
 #[test_case(120, 150; "not sooner than callers can usefully return")]
-fn a_refusal_for_want_of_room_tells_when_there_will_be_some(until: u64, retry_after: u64) {
+fn a_refusal_for_memory_has_the_time_at_which_some_is_free(until: u64, retry_after: u64) {
     let mut full = stage(&[]);
     full.taken = taken(0, until, 95.0);
     let decision = admit_path(&[full], AFTER, OBJECTIVE, 0);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_refusal_for_want_of_room_names_the_stage_that_finds_none() {
+fn a_refusal_for_memory_names_the_stage() {
     let mut full = stage(&[0]);
     full.taken = taken(0, 5_000, 95.0);
     let decision = admit_path(&[stage(&[]), full, stage(&[1])], AFTER, OBJECTIVE, 0);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn the_less_urgent_leave_room_and_time_to_the_more_urgent() {
+fn less_urgent_requests_leave_memory_and_time_to_more_urgent_ones() {
     let mut filled = stage(&[]);
     filled.taken = taken(0, 2_000, 50.0);
     let mut busy = stage(&[]);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_pool_without_endpoints_takes_nothing() {
+fn a_pool_without_endpoints_refuses_all_requests() {
     let mut empty = stage(&[]);
     empty.slots = 0.0;
     let refusal = admit_path(&[empty], AFTER, OBJECTIVE, 0).refusal;
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn the_earliest_time_lies_in_the_first_gap_that_is_long_enough() {
+fn the_earliest_time_is_in_the_first_sufficient_gap() {
     let mut timeline = Timeline::default();
     timeline.add(ms(0), ms(200), 8.0);
     timeline.add(ms(300), ms(1_000), 8.0);
--- a/tests/poison_schedules.rs
+++ b/tests/poison_schedules.rs
@@ -31,14 +31,14 @@
 }
 
 #[test_case(10_080; "calls to each endpoint were reset before it ended, so that it had been probed")]
-fn a_schedule_in_which_too_many_endpoints_ended(seed: u64) {
+fn earlier_excessive_crashes_do_not_recur(seed: u64) {
     let mut fleet = Fleet::new(seed, gateways(seed));
     fleet.run();
     assert!(fleet.seen.most_late <= MOST_LATE, "{:?}", fleet.seen);
 }
 
 #[test]
-fn a_poison_ends_few_endpoints_and_nobody_else_is_refused_for_it() {
+fn a_poison_crashes_few_endpoints_and_no_other_request_is_refused() {
     let first = number("STACKMAST_SEED", 1);
     let count = number("STACKMAST_SCHEDULES", SCHEDULES);
     let mut all = Seen::default();
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_limit_lets_its_burst_pass_and_then_its_rate() {
+fn a_limit_allows_its_burst_and_then_its_rate() {
     let (limit, mut limiter) = (limit(10.0, 3.0), Limiter::default());
     let mut pass = |at| limiter.take(&limit, "o", 1, ms(at)).is_ok();
     assert!(pass(0) && pass(0) && pass(0) && !pass(0));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_limit_says_when_to_come_back() {
+fn an_exhausted_limit_has_a_retry_time() {
     let (limit, mut limiter) = (limit(10.0, 1.0), Limiter::default());
     limiter.take(&limit, "o", 1, ms(0)).expect("the first passes");
     let empty = limiter.take(&limit, "o", 1, ms(40)).expect_err("the second does not");
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn retries_are_a_fraction_of_first_tries() {
+fn retries_are_a_fraction_of_first_attempts() {
     let mut budget = RetryBudget::default();
     while budget.spend() {}
     for _ in 0..100 {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn an_estimate_follows_a_change_and_its_high_time_lies_above() {
+fn an_estimate_follows_changes_and_its_high_value_is_above_the_typical() {
     let mut estimate = Estimate::default();
     for _ in 0..200 {
         estimate.add(ms(10));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn sizes_of_like_order_share_a_class() {
+fn similar_sizes_share_a_class() {
     assert_eq!(SizeClass::of(0), SizeClass::of(1_023));
     assert_eq!(SizeClass::of(65 << 10), SizeClass::of(100 << 10));
     assert_ne!(SizeClass::of(1 << 10), SizeClass::of(64 << 10));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn what_is_taken_out_of_its_turn_is_not_served() {
+fn a_removed_ticket_is_not_served() {
     let mut queue = Queue::default();
     queue.push(ticket(1, 0, "o", 10));
     queue.push(ticket(2, 0, "o", 20));
--- a/tests/random_schedules.rs
+++ b/tests/random_schedules.rs
@@ -25,7 +25,7 @@
 #[test_case(FAILING, 3.0; "endpoints fail")]
 #[test_case(FAULTY, 3.0; "processes die, freeze, leave and lose sight of each other")]
 #[test_case(STORM, 1.0; "everything at once")]
-fn every_promise_holds_when(odds: Odds, least_whole: f64) {
+fn all_guarantees_hold_when(odds: Odds, least_whole: f64) {
     let first = number("STACKMAST_SEED", 1);
     let count = number("STACKMAST_SCHEDULES", SCHEDULES);
     let (mut steps, mut whole) = (0, 0);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn good_settings_are_taken() {
+fn valid_settings_are_accepted() {
     assert!(Settings::parse(&gateway().to_string()).is_ok());
 }
 
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn finds_everything_at_once() {
+fn all_problems_are_reported_together() {
     let found = problems(&json!({"role": "agent", "host": "", "threads": -1, "x": 1}));
     let paths = ["host", "data_centre", "internal", "admin", "admin_token", "platform", "threads"];
     for path in paths {
@@ -73,7 +73,7 @@
 
 proptest! {
     #[test]
-    fn any_text_is_settings_or_refused(text in ".{0,300}") {
+    fn any_text_parses_or_is_refused(text in ".{0,300}") {
         Settings::parse(&text).ok();
     }
 }
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stale_platform_reverts_nothing_also_in_a_process_that_starts_anew() {
+async fn a_stale_platform_reverts_nothing_even_in_a_restarted_process() {
     let mut fleet = testenv::fleet(testenv::small()).await;
     let version = fleet.publish(lower_priority).expect("published");
     fleet.wait_version(version).await.expect("everywhere");
@@ -103,7 +103,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn two_operators_who_race_under_one_version_are_a_conflict() {
+async fn two_configurations_of_one_version_are_a_conflict() {
     let mut fleet = testenv::fleet(testenv::small()).await;
     let version = fleet.publish(lower_priority).expect("published");
     fleet.wait_version(version).await.expect("everywhere");
@@ -118,7 +118,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn both_sides_of_a_split_go_on_serving() {
+async fn both_sides_of_a_partition_keep_serving() {
     let fleet = testenv::fleet(testenv::small()).await;
     fleet.platform_proxy.set(Link::Cut);
     for name in ["encoder-0", "retriever-0", "reranker-0", "llm-0"] {
--- a/tests/story.rs
+++ b/tests/story.rs
@@ -15,7 +15,7 @@
 "#;
 
 #[test]
-fn a_story_is_told_in_order_of_time_through_all_processes() {
+fn a_story_is_ordered_by_time_over_all_processes() {
     let story = story("a", LINES.as_bytes()).expect("readable");
     let events: Vec<_> =
         story.chapters.iter().map(|c| (c.host.as_str(), c.event.as_str())).collect();
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -9,7 +9,7 @@
 use test_case::test_case;
 
 #[tokio::test]
-async fn a_request_runs_each_stage_once_and_gets_its_whole_answer() {
+async fn a_request_runs_each_stage_once_and_gets_its_complete_answer() {
     let fleet = testenv::fleet(testenv::small()).await;
     let ask = Ask::new("guest-reply", "keepers-0", "guest");
 
@@ -85,7 +85,7 @@
 }
 
 #[tokio::test]
-async fn a_body_over_the_bound_is_refused_and_the_next_caller_served() {
+async fn an_oversized_body_is_refused_and_the_next_request_served() {
     let fleet = testenv::fleet(testenv::small()).await;
     let mut ask = Ask::new("guest-reply", "keepers-0", "large");
     ask.padding = 2 << 20;
@@ -100,7 +100,7 @@
 }
 
 #[tokio::test]
-async fn operators_without_the_token_learn_nothing() {
+async fn admin_requests_without_the_token_are_refused() {
     let fleet = testenv::fleet(testenv::small()).await;
     let admin = fleet.gateways[0].admin;
 
