--- a/src/actor.rs
+++ b/src/actor.rs
@@ -10,16 +10,16 @@
 use crate::message::Timestamp;
 
 /// Capacity of each of the two queues of a core; senders wait while their queue is full.
-const MAILBOX: usize = 8_192;
+const MAILBOX_CAPACITY: usize = 8_192;
 /// Urgent events handled in a row while other events wait. Heartbeats are urgent: a process that
 /// handles none for a second considers all its peers failed.
-const MOST_URGENT: usize = 16;
+const MAX_URGENT_IN_A_ROW: usize = 16;
 /// Longest time between two wakeups of a core, for cores without a pending timer.
 const IDLE_WAKEUP: Duration = Duration::from_secs(1);
 /// Delay of a wakeup from which the process counts as suspended (frozen, stopped with its host, or
 /// without a processor) rather than busy; messages that arrived during the suspension are still
 /// queued. Wakeups on hosts with 0.09 cores are delayed by up to 200 ms in a burst.
-const STOOD_STILL: Duration = Duration::from_millis(500);
+const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(500);
 
 /// A state machine that makes decisions without I/O and without reading a clock.
 pub trait Core: Send + 'static {
@@ -75,13 +75,13 @@
     mailbox: mpsc::Sender<Message<C>>,
     clock: Clock,
     /// Time at which the process last resumed after a suspension.
-    went_on: watch::Receiver<Timestamp>,
+    resumed_at: watch::Receiver<Timestamp>,
 }
 
 impl<C: Core> Clone for Handle<C> {
     fn clone(&self) -> Self {
         let (urgent, mailbox) = (self.urgent.clone(), self.mailbox.clone());
-        Self { urgent, mailbox, clock: self.clock.clone(), went_on: self.went_on.clone() }
+        Self { urgent, mailbox, clock: self.clock.clone(), resumed_at: self.resumed_at.clone() }
     }
 }
 
@@ -103,16 +103,16 @@
 
     /// Waits until a time by the core's clock. Time spent in suspension counts towards the wait.
     pub async fn sleep_until(&self, at: Timestamp) {
-        let mut went_on = self.went_on.clone();
+        let mut resumed_at = self.resumed_at.clone();
         loop {
-            went_on.mark_unchanged();
+            resumed_at.mark_unchanged();
             let left = at.saturating_sub(self.now());
             if left.is_zero() {
                 return;
             }
             tokio::select! {
                 () = tokio::time::sleep(left) => {}
-                Ok(()) = went_on.changed() => {}
+                Ok(()) = resumed_at.changed() => {}
             }
         }
     }
@@ -147,7 +147,7 @@
     urgent: mpsc::Receiver<Message<C>>,
     receiver: mpsc::Receiver<Message<C>>,
     clock: Clock,
-    went_on: watch::Sender<Timestamp>,
+    resumed_at: watch::Sender<Timestamp>,
 }
 
 /// Creates a handle and the mailbox that it sends to, with the host's clock.
@@ -157,11 +157,11 @@
 
 /// Creates a handle and the mailbox that it sends to, with the given clock.
 pub fn mailbox_with<C: Core>(clock: Clock) -> (Handle<C>, Mailbox<C>) {
-    let (urgent, urgent_receiver) = mpsc::channel(MAILBOX);
-    let (mailbox, receiver) = mpsc::channel(MAILBOX);
-    let (sender, went_on) = watch::channel(Timestamp::ZERO);
-    let handle = Handle { urgent, mailbox, clock: clock.clone(), went_on };
-    (handle, Mailbox { urgent: urgent_receiver, receiver, clock, went_on: sender })
+    let (urgent, urgent_receiver) = mpsc::channel(MAILBOX_CAPACITY);
+    let (mailbox, receiver) = mpsc::channel(MAILBOX_CAPACITY);
+    let (sender, resumed_at) = watch::channel(Timestamp::ZERO);
+    let handle = Handle { urgent, mailbox, clock: clock.clone(), resumed_at };
+    (handle, Mailbox { urgent: urgent_receiver, receiver, clock, resumed_at: sender })
 }
 
 impl<C: Core> Mailbox<C> {
@@ -178,13 +178,13 @@
     }
 
     /// Reads the clock; reports a suspension to the core if the wakeup at `due` is overdue by
-    /// [`STOOD_STILL`] or more.
-    fn look_at_clock(&self, core: &mut C, due: Timestamp) -> Timestamp {
+    /// [`SUSPENSION_THRESHOLD`] or more.
+    fn check_suspension(&self, core: &mut C, due: Timestamp) -> Timestamp {
         let now = self.clock.now();
         let late = now.saturating_sub(due);
-        if late >= STOOD_STILL {
+        if late >= SUSPENSION_THRESHOLD {
             core.on_suspension(late, now);
-            self.went_on.send_replace(now);
+            self.resumed_at.send_replace(now);
         }
         now
     }
@@ -195,7 +195,7 @@
     let mut urgent_in_a_row = 0;
     let mut due = mailbox.clock.now();
     loop {
-        let now = mailbox.look_at_clock(&mut core, due);
+        let now = mailbox.check_suspension(&mut core, due);
         let idle = now + IDLE_WAKEUP;
         let wakeup = core.next_wakeup().map_or(idle, |at| at.min(idle));
         // A timer that was due before the core reported it is measured from now.
@@ -203,12 +203,12 @@
         let message = tokio::select! {
             biased;
             () = tokio::time::sleep(due - now) => Some(Message::Event(C::TICK, due)),
-            next = mailbox.next(urgent_in_a_row < MOST_URGENT) => next.map(|(message, is_urgent)| {
+            next = mailbox.next(urgent_in_a_row < MAX_URGENT_IN_A_ROW) => next.map(|(message, is_urgent)| {
                 urgent_in_a_row = if is_urgent { urgent_in_a_row + 1 } else { 0 };
                 message
             }),
         };
-        let begun = mailbox.look_at_clock(&mut core, due);
+        let begun = mailbox.check_suspension(&mut core, due);
         due = begun;
         match message {
             None => return,
--- a/src/admin.rs
+++ b/src/admin.rs
@@ -29,7 +29,7 @@
 use crate::spread::Spread;
 
 /// Entries of a list when the request has no `count` parameter.
-const LISTED: usize = 50;
+const DEFAULT_COUNT: usize = 50;
 
 /// Handle of the process's core, by the role of the process.
 #[derive(Clone)]
@@ -182,17 +182,17 @@
 fn count(ctx: &Context<'_>) -> usize {
     let query = ctx.req().uri().query().unwrap_or_default();
     let count = query.split('&').find_map(|pair| pair.strip_prefix("count="));
-    count.and_then(|c| c.parse().ok()).unwrap_or(LISTED)
+    count.and_then(|c| c.parse().ok()).unwrap_or(DEFAULT_COUNT)
 }
 
 async fn in_flight(role: &RoleHandle) -> Result<usize, crate::actor::Stopped> {
     match role {
         RoleHandle::Gateway(core) => core.inspect(|core, _| core.in_flight()).await,
-        RoleHandle::Agent(core) => core.inspect(|core, _| in_agent(core.load())).await,
+        RoleHandle::Agent(core) => core.inspect(|core, _| attempts_in_agent(core.load())).await,
     }
 }
 
-const fn in_agent(load: Load) -> usize {
+const fn attempts_in_agent(load: Load) -> usize {
     (load.queued + load.running) as usize
 }
 
@@ -238,7 +238,7 @@
         .iter()
         .map(|(name, state)| {
             let load = state.report.map(|(load, _)| load).unwrap_or_default();
-            let word = if state.is_leaving(now) {
+            let state_name = if state.is_leaving(now) {
                 "leaving"
             } else if state.is_suspected(now) {
                 "suspected"
@@ -247,7 +247,7 @@
             };
             EndpointStatus {
                 endpoint: name.clone(),
-                state: word.to_owned(),
+                state: state_name.to_owned(),
                 in_flight: state.in_flight,
                 queued: load.queued,
                 running: load.running,
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -9,7 +9,7 @@
 use slog::{Logger, info};
 
 /// Entries kept in memory; the oldest are dropped first. All entries are also logged.
-const KEPT: usize = 1_024;
+const MAX_ENTRIES: usize = 1_024;
 /// Differences recorded for an accepted configuration; further ones are only counted.
 pub const SHOWN_CHANGES: usize = 32;
 
@@ -125,7 +125,7 @@
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let entry = Entry { at_unix_ms: since.as_millis() as u64, change };
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
-        if entries.len() == KEPT {
+        if entries.len() == MAX_ENTRIES {
             entries.pop_front();
         }
         entries.push_back(entry);
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -44,7 +44,7 @@
 /// Interval at which a stopping process checks whether anything is in flight.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
 /// Delay between the last response and closing the listeners, so that sockets can flush.
-const FLUSH: Duration = Duration::from_millis(200);
+const FLUSH_DELAY: Duration = Duration::from_millis(200);
 
 /// Reason for which the daemon failed.
 #[derive(Debug, Snafu)]
@@ -134,7 +134,7 @@
     }
 
     /// Waits for a signal or an order to stop; further signals have no effect.
-    async fn told_to_stop(&self) -> Result<(), DaemonError> {
+    async fn wait_for_stop(&self) -> Result<(), DaemonError> {
         let mut term = signal(SignalKind::terminate()).context(SignalsSnafu)?;
         let mut interrupt = signal(SignalKind::interrupt()).context(SignalsSnafu)?;
         tokio::select! {
@@ -147,12 +147,12 @@
     }
 
     /// Waits until nothing is in flight, at most for the drain timeout of the settings.
-    async fn drained(&self, mut in_flight: impl AsyncFnMut() -> usize) {
+    async fn wait_until_idle(&self, mut in_flight: impl AsyncFnMut() -> usize) {
         let until = Instant::now() + self.settings.bounds.drain_timeout;
         while Instant::now() < until && in_flight().await > 0 {
             tokio::time::sleep(DRAIN_POLL).await;
         }
-        tokio::time::sleep(FLUSH).await;
+        tokio::time::sleep(FLUSH_DELAY).await;
     }
 }
 
@@ -210,9 +210,9 @@
     tokio::spawn(configure_gateway(handle.clone(), base.spread.clone(), settings));
     base.audit.record(Change::Started { incarnation: base.incarnation.to_string() });
 
-    base.told_to_stop().await?;
+    base.wait_for_stop().await?;
     handle.send(gateway::event::Event::Drain).await.ok();
-    base.drained(async || callers.len()).await;
+    base.wait_until_idle(async || callers.len()).await;
     listener.stop();
     admin.stop();
     Ok(())
@@ -302,9 +302,9 @@
     });
     base.audit.record(Change::Started { incarnation: base.incarnation.to_string() });
 
-    base.told_to_stop().await?;
+    base.wait_for_stop().await?;
     handle.send(agent::event::Event::Drain).await.ok();
-    base.drained(async || {
+    base.wait_until_idle(async || {
         let idle = handle.inspect(|core, _| core.is_idle()).await;
         usize::from(!idle.unwrap_or(true))
     })
@@ -340,7 +340,7 @@
         if let Some(installed) = spread.store().installed() {
             let leaving = configured.apply(&installed.config, listed_leaving).await;
             if was_leaving.replace(leaving) != Some(leaving) {
-                configured.note(leaving);
+                configured.record_change(leaving);
             }
         }
         tokio::select! {
@@ -367,7 +367,7 @@
         leaving
     }
 
-    fn note(&self, leaving: bool) {
+    fn record_change(&self, leaving: bool) {
         let endpoint = self.name.clone();
         self.audit.record(if leaving {
             Change::EndpointLeaving { endpoint }
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -27,7 +27,7 @@
     at_unix_ms: u64,
     host: &'a str,
     #[serde(flatten)]
-    note: &'a T,
+    event: &'a T,
 }
 
 /// Writes serialized lines to standard output from a separate thread. Lines are dropped and counted
@@ -47,9 +47,9 @@
     }
 
     /// Queues a line, or drops it if the queue is full.
-    pub fn write<T: Serialize>(&self, note: &T) {
+    pub fn write<T: Serialize>(&self, event: &T) {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let line = Line { at_unix_ms: since.as_millis() as u64, host: &self.host, note };
+        let line = Line { at_unix_ms: since.as_millis() as u64, host: &self.host, event };
         let mut text = serde_json::to_vec(&line).unwrap_or_default();
         text.push(b'\n');
         if self.sender.try_send(text).is_err() {
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -23,7 +23,7 @@
 /// Timeout for an explanation from another gateway.
 const EXPLAIN_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum number of peers to ask when the host list does not contain the gateway.
-const PEERS_ASKED: usize = 16;
+const MAX_PEERS_ASKED: usize = 16;
 
 /// gRPC service that answers the requests of other processes.
 #[derive(Clone)]
@@ -123,10 +123,11 @@
     let named = hosts.hosts.iter().find(|h| *h.name == *id.gateway).map(|h| h.internal);
     let asked = match named {
         Some(gateway) => vec![gateway],
-        None => spread.peers().into_iter().take(PEERS_ASKED).collect(),
+        None => spread.peers().into_iter().take(MAX_PEERS_ASKED).collect(),
     };
     for peer in asked {
-        let explained = tokio::time::timeout(EXPLAIN_TIMEOUT, ask(channels, peer, id)).await;
+        let explained =
+            tokio::time::timeout(EXPLAIN_TIMEOUT, request_explanation(channels, peer, id)).await;
         if let Ok(Some(explanation)) = explained {
             return Some(explanation);
         }
@@ -134,7 +135,11 @@
     None
 }
 
-async fn ask(channels: &Channels, peer: SocketAddr, id: &RequestId) -> Option<Explanation> {
+async fn request_explanation(
+    channels: &Channels,
+    peer: SocketAddr,
+    id: &RequestId,
+) -> Option<Explanation> {
     let channel = channels.get(peer).await.ok()?;
     let request = v1::ExplainRequest { request: id.to_string() };
     let reply = PeerClient::new(channel).explain(request).await.ok()?;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -171,7 +171,7 @@
         }
         None => None,
     };
-    fields.refuse_the_rest();
+    fields.reject_unknown_fields();
     let bounds = read_bounds(bounds?, problems);
     Some(Settings {
         role: role?,
@@ -197,7 +197,7 @@
     let records = fields.bounded("records", 2_048, 1, 1_000_000);
     let body_timeout = fields.bounded("body_timeout_ms", 5_000, 1, 600_000);
     let drain_timeout = fields.bounded("drain_timeout_ms", 60_000, 0, 3_600_000);
-    fields.refuse_the_rest();
+    fields.reject_unknown_fields();
     Some(Bounds {
         in_flight: in_flight? as usize,
         body_bytes: body_bytes? as usize,
@@ -254,14 +254,14 @@
         &mut self,
         key: &str,
         allowed: &str,
-        fits: impl Fn(&T) -> bool,
+        is_valid: impl Fn(&T) -> bool,
     ) -> Option<T> {
         let Some(value) = self.map.remove(key) else {
             return self.problem(key, "nothing".to_owned(), allowed);
         };
         let shown = value.to_string();
         match serde_json::from_value(value) {
-            Ok(read) if fits(&read) => Some(read),
+            Ok(read) if is_valid(&read) => Some(read),
             _ => self.problem(key, shown, allowed),
         }
     }
@@ -273,15 +273,15 @@
         self.required(key, allowed)
     }
 
-    fn bounded(&mut self, key: &str, default: u64, least: u64, most: u64) -> Option<u64> {
+    fn bounded(&mut self, key: &str, default: u64, min: u64, max: u64) -> Option<u64> {
         if !self.map.contains_key(key) {
             return Some(default);
         }
-        let allowed = format!("a whole number from {least} to {most}");
-        self.checked(key, &allowed, |n| (least..=most).contains(n))
+        let allowed = format!("a whole number from {min} to {max}");
+        self.checked(key, &allowed, |n| (min..=max).contains(n))
     }
 
-    fn refuse_the_rest(&mut self) {
+    fn reject_unknown_fields(&mut self) {
         for (key, value) in std::mem::take(&mut self.map) {
             self.problem::<()>(&key, value.to_string(), "no field has this name");
         }
--- a/src/tool.rs
+++ b/src/tool.rs
@@ -216,13 +216,13 @@
         ["try", file, pipeline, organisation, labels @ ..] => {
             try_request(Path::new(file), pipeline, organisation, labels, &matches)
         }
-        ["story", request, files @ ..] => tell_story(request, files),
+        ["story", request, files @ ..] => show_story(request, files),
         ["status"] => show::<Status>(&matches, "/v1/status", status_table),
         ["endpoints"] => {
             show::<Vec<EndpointStatus>>(&matches, "/v1/endpoints", |e| endpoints_table(e))
         }
         ["requests"] => {
-            let path = counted(&matches, "/v1/requests");
+            let path = with_count(&matches, "/v1/requests");
             show::<Vec<RequestStatus>>(&matches, &path, |r| requests_table(r))
         }
         ["explain", request] => {
@@ -230,7 +230,7 @@
             show::<Explanation>(&matches, &path, explanation_text)
         }
         ["audit"] => {
-            let path = counted(&matches, "/v1/audit");
+            let path = with_count(&matches, "/v1/audit");
             show::<Vec<Entry>>(&matches, &path, |entries| {
                 entries.iter().map(|e| format!("{e}\n")).collect()
             })
@@ -244,7 +244,7 @@
     }
 }
 
-fn tell_story(request: &str, files: &[&str]) -> Result<String, ToolError> {
+fn show_story(request: &str, files: &[&str]) -> Result<String, ToolError> {
     let mut lines: Box<dyn Read> = Box::new(std::io::empty());
     for path in files {
         let file = File::open(path).context(FileSnafu { path: *path })?;
@@ -339,9 +339,10 @@
     let place = Place { host: "stackmast-try".to_owned(), data_centre };
     let view = View::new(config, String::new(), place);
     let labels = read_labels(labels)?;
-    let known = |name: &str| ToolError::NotInConfig { name: name.to_owned() };
-    let pipeline = view.pipeline(pipeline).ok_or_else(|| known(pipeline))?;
-    let organisation = view.organisation(organisation).ok_or_else(|| known(organisation))?;
+    let not_in_config = |name: &str| ToolError::NotInConfig { name: name.to_owned() };
+    let pipeline = view.pipeline(pipeline).ok_or_else(|| not_in_config(pipeline))?;
+    let organisation =
+        view.organisation(organisation).ok_or_else(|| not_in_config(organisation))?;
     let candidate = Candidate {
         view: &view,
         pipeline,
@@ -403,7 +404,7 @@
     [step].into_iter().chain(decisions).collect()
 }
 
-fn counted(matches: &Matches, path: &str) -> String {
+fn with_count(matches: &Matches, path: &str) -> String {
     match matches.opt_str("count") {
         Some(count) => format!("{path}?count={count}"),
         None => path.to_owned(),
@@ -431,7 +432,7 @@
     let token = token.unwrap_or_default();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|_| ToolError::Unreachable { address: address.clone() })?;
-    let asked = ask(&address, method, path, &token);
+    let asked = send_request(&address, method, path, &token);
     let answer = runtime.block_on(async { tokio::time::timeout(TIMEOUT, asked).await });
     let Some((status, body)) = answer.ok().flatten() else {
         return UnreachableSnafu { address }.fail();
@@ -444,7 +445,7 @@
     RefusedSnafu { status, detail }.fail()
 }
 
-async fn ask(
+async fn send_request(
     address: &str,
     method: Method,
     path: &str,
