--- a/src/gateway/core.rs
+++ b/src/gateway/core.rs
@@ -15,7 +15,7 @@
 
 use super::event::{Action, Answer, Event, Setup};
 use super::request::{
-    Attempt, Request, Submission, new_attempt, patience, run_of, start, time_allowed,
+    Attempt, Request, Submission, new_attempt, run_request, start, time_allowed, wait_limit,
 };
 use crate::actor::Core;
 use crate::config::Endpoint;
@@ -38,21 +38,21 @@
 pub(super) const RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// An attempt is revoked if its agent has not replied within this time.
-const SILENCE: Duration = Duration::from_millis(150);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Interval between removals of the state of unused endpoints.
-const FORGET_EVERY: Duration = Duration::from_secs(60);
+const FORGET_INTERVAL: Duration = Duration::from_secs(60);
 
 /// If an agent has not replied within this time, a non-repeatable stage is first sent to it as a
 /// probe, without an incarnation, which no agent runs.
-const GREET_AFTER: Duration = Duration::from_millis(200);
+const PROBE_AFTER: Duration = Duration::from_millis(200);
 
 /// Purpose of a timer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     Deadline,
-    Silence(AttemptId),
-    Patience(AttemptId),
+    ReplyTimeout(AttemptId),
+    WaitLimit(AttemptId),
     Stall(AttemptId),
     Resume(AttemptId),
 }
@@ -92,8 +92,8 @@
             Event::Reply { call, attempt, from, load, reply } => {
                 self.on_reply(call, attempt, from, load, reply, now);
             }
-            Event::Lost { call, attempt } => self.on_lost(call, attempt, now),
-            Event::Unsent { call, attempt } => self.on_unsent(call, attempt, now),
+            Event::Lost { call, attempt } => self.on_call_lost(call, attempt, now),
+            Event::Unsent { call, attempt } => self.on_call_unsent(call, attempt, now),
             Event::Revoked { attempt, outcome } => self.on_revoked(attempt, outcome, now),
             Event::Configure { view } => self.view = Some(view),
             Event::Gateways { count } => self.gateways = count.max(1),
@@ -182,7 +182,7 @@
 
     fn forget_unused(&mut self, now: Timestamp) {
         if now >= self.forget_at {
-            self.forget_at = now + FORGET_EVERY;
+            self.forget_at = now + FORGET_INTERVAL;
             self.fleet.forget_unused(now);
         }
     }
@@ -265,7 +265,7 @@
             return;
         };
         if now >= request.deadline {
-            return self.give_up_late(caller, now);
+            return self.refuse_deadline_passed(caller, now);
         }
         let question = Question {
             view: &request.view,
@@ -279,7 +279,7 @@
         let decision = choose(&question, &self.fleet, &mut self.rng);
         match decision.endpoint().cloned() {
             Some(endpoint) => self.send(caller, endpoint, decision, now),
-            None => self.give_up_nowhere(caller, &decision, now),
+            None => self.refuse_no_endpoint(caller, &decision, now),
         }
     }
 
@@ -302,12 +302,12 @@
             self.budget.earn(request.view.config.policy.retry_fraction);
         }
         request.record.steps.push((now, Step::Sent(decision)));
-        let run = run_of(request, id, agent, &endpoint, None, now);
+        let run = run_request(request, id, agent, &endpoint, None, now);
         request.attempt = Some(new_attempt(id, endpoint.clone(), agent, call, now));
-        let patience = patience(request, now);
+        let wait_limit = wait_limit(request, now);
         self.attempts.insert(id, caller);
-        self.timers.insert((patience, caller, Timer::Patience(id)));
-        self.timers.insert((now + SILENCE, caller, Timer::Silence(id)));
+        self.timers.insert((wait_limit, caller, Timer::WaitLimit(id)));
+        self.timers.insert((now + REPLY_TIMEOUT, caller, Timer::ReplyTimeout(id)));
         self.fleet.sent(&endpoint.name, now);
         self.actions.push(Action::Run { endpoint, call, run });
     }
@@ -320,7 +320,7 @@
             return Incarnation::UNKNOWN;
         };
         let may_repeat = self.requests.get(&caller).is_some_and(Request::may_repeat_stage);
-        if may_repeat || state.was_heard_within(GREET_AFTER, now) {
+        if may_repeat || state.was_heard_within(PROBE_AFTER, now) {
             return state.incarnation;
         }
         Incarnation::UNKNOWN
@@ -389,7 +389,7 @@
         }
     }
 
-    pub(super) fn give_up_late(&mut self, caller: u64, now: Timestamp) {
+    pub(super) fn refuse_deadline_passed(&mut self, caller: u64, now: Timestamp) {
         let Some(request) = self.requests.get(&caller) else {
             return;
         };
@@ -397,7 +397,7 @@
         self.refuse(caller, Reason::DeadlinePassed { stage }, RETRY_AFTER, now);
     }
 
-    fn give_up_nowhere(&mut self, caller: u64, decision: &Decision, now: Timestamp) {
+    fn refuse_no_endpoint(&mut self, caller: u64, decision: &Decision, now: Timestamp) {
         let Some(request) = self.requests.get(&caller) else {
             return;
         };
@@ -460,16 +460,19 @@
             }
             self.timers.remove(&(at, caller, timer));
             match timer {
-                Timer::Deadline => self.give_up_late(caller, now),
-                Timer::Patience(id) if self.attempts.contains_key(&id) => {
-                    self.lose_patience(caller, now);
+                Timer::Deadline => self.refuse_deadline_passed(caller, now),
+                Timer::WaitLimit(id) if self.attempts.contains_key(&id) => {
+                    self.on_wait_limit(caller, now);
                 }
                 Timer::Resume(id) if self.attempts.contains_key(&id) => self.resume(caller, now),
-                Timer::Silence(id) if self.is_unheard(id) => self.take_back(caller),
+                Timer::ReplyTimeout(id) if self.is_unanswered(id) => self.revoke_waiting(caller),
                 Timer::Stall(id) if self.attempts.contains_key(&id) => {
                     self.check_progress(caller, now);
                 }
-                Timer::Silence(_) | Timer::Patience(_) | Timer::Stall(_) | Timer::Resume(_) => {}
+                Timer::ReplyTimeout(_)
+                | Timer::WaitLimit(_)
+                | Timer::Stall(_)
+                | Timer::Resume(_) => {}
             }
         }
     }
--- a/src/gateway/http.rs
+++ b/src/gateway/http.rs
@@ -24,7 +24,7 @@
 use super::request::Submission;
 use super::shell::{CallerMessage, Callers};
 use super::sse::SseBody;
-use super::tickets::{self, Ended, Fate, Ticket};
+use super::tickets::{self, RunEnd, Ticket, TicketState};
 use crate::actor::Handle;
 use crate::channels::Channels;
 use crate::config::check::MAX_DEADLINE_MS;
@@ -39,7 +39,7 @@
 /// Validity of a ticket.
 const TICKET_VALID: Duration = Duration::from_secs(300);
 /// Number of agents that are asked to open a ticket before the request for it is refused.
-const HOMES_ASKED: usize = 3;
+const MAX_ISSUERS_ASKED: usize = 3;
 const REQUEST_HEADER: HeaderName = HeaderName::from_static("x-stackmast-request");
 const DIGEST_HEADER: HeaderName = HeaderName::from_static("x-stackmast-digest");
 
@@ -121,10 +121,10 @@
 
 async fn open_ticket(ctx: &WebContext<'_, CallerState>) -> WebResponse {
     let state = ctx.state();
-    let homes = state.core.inspect(|core, _| possible_homes(core)).await.unwrap_or_default();
+    let issuers = state.core.inspect(|core, _| candidate_issuers(core)).await.unwrap_or_default();
     let (channels, settings) = (state.channels.clone(), state.settings.clone());
     let opened = state.runtime.spawn(async move {
-        tickets::open(&channels, &homes, TICKET_VALID, &settings.ticket_key).await
+        tickets::open(&channels, &issuers, TICKET_VALID, &settings.ticket_key).await
     });
     match opened.await {
         Ok(Ok(issued)) => http::json(StatusCode::CREATED, &issued),
@@ -136,13 +136,13 @@
 }
 
 /// A random selection of agents of endpoints that are in use.
-fn possible_homes(core: &GatewayCore) -> Vec<SocketAddr> {
+fn candidate_issuers(core: &GatewayCore) -> Vec<SocketAddr> {
     let Some(view) = core.view() else {
         return Vec::new();
     };
     let mut endpoints = view.endpoints_in_use();
     endpoints.shuffle(&mut rand::rng());
-    endpoints.into_iter().take(HOMES_ASKED).map(|e| e.agent).collect()
+    endpoints.into_iter().take(MAX_ISSUERS_ASKED).map(|e| e.agent).collect()
 }
 
 async fn submit(ctx: &WebContext<'_, CallerState>, Body(body): Body<RequestBody>) -> WebResponse {
@@ -209,12 +209,14 @@
         return Err(Box::new(refused("", &ticket_refusal(Reason::TicketVoid))));
     };
     let claim = ticket.claim();
-    let (channels, asked) = (state.channels.clone(), claim.clone());
-    let read = state.runtime.spawn(async move { tickets::read(&channels, &asked).await });
+    let (channels, read_claim) = (state.channels.clone(), claim.clone());
+    let read = state.runtime.spawn(async move { tickets::read(&channels, &read_claim).await });
     match read.await {
-        Ok(Ok(Fate::Free)) => Ok(claim),
-        Ok(Ok(Fate::Begun)) => Err(Box::new(refused("", &ticket_refusal(Reason::TicketUsed)))),
-        Ok(Ok(Fate::Done { request, answer })) => {
+        Ok(Ok(TicketState::Free)) => Ok(claim),
+        Ok(Ok(TicketState::Begun)) => {
+            Err(Box::new(refused("", &ticket_refusal(Reason::TicketUsed))))
+        }
+        Ok(Ok(TicketState::Done { request, answer })) => {
             let digest = xxhash_rust::xxh3::xxh3_64(&answer);
             Err(Box::new(complete(&request, Bytes::from(answer), digest)))
         }
@@ -235,13 +237,13 @@
 
 impl Drop for CallerGuard {
     fn drop(&mut self) {
-        self.state.callers.leave(self.caller);
+        self.state.callers.unregister(self.caller);
         self.state.core.post(Event::CallerGone { caller: self.caller }, &self.state.runtime);
     }
 }
 
 async fn answer(state: &CallerState, submission: Submission) -> WebResponse {
-    let (caller, mut messages) = state.callers.enter();
+    let (caller, mut messages) = state.callers.register();
     let guard = CallerGuard { caller, state: state.clone() };
     let (stream, claim) = (submission.stream, submission.claim.clone());
     if state.core.send(Event::Submit { caller, submission }).await.is_err() {
@@ -269,11 +271,11 @@
         match next {
             Some(CallerMessage::Answer(answer)) => {
                 if let Some(claim) = claim {
-                    let told = finish_ticket(state, claim, &answer);
+                    let report = finish_ticket(state, claim, &answer);
                     // The caller may repeat the request right after the answer, so the issuing
                     // agent must have the result first. A refusal need not wait.
                     if matches!(answer, Answer::Complete { .. }) {
-                        told.await.ok();
+                        report.await.ok();
                     }
                 }
                 return final_answer(answer);
@@ -299,7 +301,7 @@
         Answer::Refused { request, refusal } => (request, refusal.ran != Ran::NotRun, None),
     };
     let run = RunId { gateway: id.incarnation, number: id.number };
-    let ended = Ended { run, request: id.to_string(), begun, answer: result };
+    let ended = RunEnd { run, request: id.to_string(), begun, answer: result };
     let channels = state.channels.clone();
     state.runtime.spawn(async move { tickets::finish(&channels, &claim, ended).await })
 }
--- a/src/gateway/recovery.rs
+++ b/src/gateway/recovery.rs
@@ -7,7 +7,7 @@
 
 use super::core::{GatewayCore, RETRY_AFTER, Timer};
 use super::event::{Action, EndpointChange};
-use super::request::{Progress, patience, run_of};
+use super::request::{Progress, run_request, wait_limit};
 use crate::message::{AgentReason, AttemptId, Incarnation, Revocation, Timestamp};
 use crate::metrics as m;
 use crate::policy::explain::Step;
@@ -15,33 +15,33 @@
 use crate::refusal::Reason;
 
 /// Number of resumes without a reply before an attempt of a repeatable stage is abandoned.
-const RESUMES_BEFORE_ELSEWHERE: u32 = 2;
+const MAX_RESUMES: u32 = 2;
 /// Initial delay before a lost call is resumed; it doubles with each further resume.
-const RESUME_FIRST: Duration = Duration::from_millis(20);
+const INITIAL_RESUME_DELAY: Duration = Duration::from_millis(20);
 /// Maximum delay before a lost call is resumed.
-const RESUME_LONGEST: Duration = Duration::from_millis(500);
+const MAX_RESUME_DELAY: Duration = Duration::from_millis(500);
 /// Placeholder for a call that is lost and not yet resumed; calls are numbered from 1.
 const NO_CALL: u64 = 0;
 /// A waiting attempt is moved if another endpoint is predicted to need at most this share of the
 /// remaining time.
-const WELL_BEFORE: f64 = 0.5;
+const MAX_MOVE_SHARE: f64 = 0.5;
 /// A waiting attempt is not checked again if the next check would be due within this time.
-const SHORTEST_PATIENCE: Duration = Duration::from_millis(20);
+const MIN_WAIT_LIMIT: Duration = Duration::from_millis(20);
 /// A begun attempt counts as stalled after this multiple of the stage's estimated service time.
 const STALL_FACTOR: u32 = 3;
 /// Minimum stall limit, unless the share of the remaining time is less.
-const STALL_SHORTEST: Duration = Duration::from_millis(100);
+const MIN_STALL_LIMIT: Duration = Duration::from_millis(100);
 /// Maximum stall limit, as a share of the remaining time.
 const STALL_SHARE: f64 = 0.4;
 
 impl GatewayCore {
     /// Handles an attempt that is proved not to have run: retries the stage if possible.
-    pub(super) fn not_run(
+    pub(super) fn on_not_run(
         &mut self,
         caller: u64,
         reason: AgentReason,
         retry_after: Duration,
-        same_again: bool,
+        retry_same: bool,
         now: Timestamp,
     ) {
         let Some(attempt) = self.close_attempt(caller, now) else {
@@ -56,9 +56,9 @@
             return self.refuse(caller, Reason::TicketUsed, retry_after, now);
         }
         if reason == AgentReason::DeadlinePassed {
-            return self.give_up_late(caller, now);
+            return self.refuse_deadline_passed(caller, now);
         }
-        if same_again {
+        if retry_same {
             return self.dispatch(caller, now);
         }
         request.tried.push(attempt.endpoint.name.clone());
@@ -96,7 +96,7 @@
 
     /// Handles an attempt whose outcome can't be determined: retries a repeatable stage, otherwise
     /// refuses the request.
-    pub(super) fn outcome_unknown(&mut self, caller: u64, reason: AgentReason, now: Timestamp) {
+    pub(super) fn on_outcome_unknown(&mut self, caller: u64, reason: AgentReason, now: Timestamp) {
         let Some(attempt) = self.close_attempt(caller, now) else {
             return;
         };
@@ -122,32 +122,32 @@
         self.retry(caller, reason, RETRY_AFTER, now);
     }
 
-    pub(super) fn on_lost(&mut self, call: u64, id: AttemptId, now: Timestamp) {
-        let Some((caller, attempt)) = self.open(id) else {
+    pub(super) fn on_call_lost(&mut self, call: u64, id: AttemptId, now: Timestamp) {
+        let Some((caller, attempt)) = self.open_attempt(id) else {
             return;
         };
         if attempt.call == call {
-            self.lose(caller, now);
+            self.recover_call(caller, now);
         }
     }
 
-    pub(super) fn on_unsent(&mut self, call: u64, id: AttemptId, now: Timestamp) {
-        let Some((caller, attempt)) = self.open(id) else {
+    pub(super) fn on_call_unsent(&mut self, call: u64, id: AttemptId, now: Timestamp) {
+        let Some((caller, attempt)) = self.open_attempt(id) else {
             return;
         };
         if attempt.call != call {
             return;
         }
         if attempt.was_sent {
-            return self.lose(caller, now);
+            return self.recover_call(caller, now);
         }
-        self.not_run(caller, AgentReason::AgentUnreachable, RETRY_AFTER, false, now);
+        self.on_not_run(caller, AgentReason::AgentUnreachable, RETRY_AFTER, false, now);
     }
 
     /// Handles a lost call: the attempt may still run at the agent, so schedules a resume.
-    pub(super) fn lose(&mut self, caller: u64, now: Timestamp) {
-        if self.is_greeting(caller) {
-            return self.not_run(caller, AgentReason::AgentUnreachable, RETRY_AFTER, false, now);
+    pub(super) fn recover_call(&mut self, caller: u64, now: Timestamp) {
+        if self.is_probe(caller) {
+            return self.on_not_run(caller, AgentReason::AgentUnreachable, RETRY_AFTER, false, now);
         }
         let Some(request) = self.requests.get_mut(&caller) else {
             return;
@@ -163,10 +163,10 @@
         request.record.steps.push((now, Step::Lost { endpoint: endpoint.clone() }));
         self.actions.push(Action::Hangup { call });
         self.suspect(endpoint, now);
-        if may_repeat && tries > RESUMES_BEFORE_ELSEWHERE {
-            return self.outcome_unknown(caller, AgentReason::EndpointUnreachable, now);
+        if may_repeat && tries > MAX_RESUMES {
+            return self.on_outcome_unknown(caller, AgentReason::EndpointUnreachable, now);
         }
-        let wait = (RESUME_FIRST * 2u32.pow(tries.min(10) - 1)).min(RESUME_LONGEST);
+        let wait = (INITIAL_RESUME_DELAY * 2u32.pow(tries.min(10) - 1)).min(MAX_RESUME_DELAY);
         self.timers.insert((now + wait, caller, Timer::Resume(id)));
     }
 
@@ -182,13 +182,13 @@
         attempt.was_sent = true;
         let (id, agent, endpoint) = (attempt.id, attempt.agent, attempt.endpoint.clone());
         let offset = attempt.output.len();
-        let run = run_of(request, id, agent, &endpoint, Some(offset), now);
+        let run = run_request(request, id, agent, &endpoint, Some(offset), now);
         self.actions.push(Action::Run { endpoint, call, run });
     }
 
     /// Handles an attempt that has waited its share of the time: revokes it if another endpoint is
     /// predicted to finish well before the deadline; otherwise it keeps its place in the queue.
-    pub(super) fn lose_patience(&mut self, caller: u64, now: Timestamp) {
+    pub(super) fn on_wait_limit(&mut self, caller: u64, now: Timestamp) {
         let Some(request) = self.requests.get(&caller) else {
             return;
         };
@@ -208,17 +208,17 @@
         };
         let elsewhere = choose(&question, &self.fleet, &mut self.rng).predicted();
         let left = request.deadline.saturating_sub(now);
-        if elsewhere.is_some_and(|time| time <= left.mul_f64(WELL_BEFORE)) {
-            return self.take_back(caller);
+        if elsewhere.is_some_and(|time| time <= left.mul_f64(MAX_MOVE_SHARE)) {
+            return self.revoke_waiting(caller);
         }
-        let again = patience(request, now);
-        if again > now + SHORTEST_PATIENCE {
-            self.timers.insert((again, caller, Timer::Patience(attempt.id)));
+        let again = wait_limit(request, now);
+        if again > now + MIN_WAIT_LIMIT {
+            self.timers.insert((again, caller, Timer::WaitLimit(attempt.id)));
         }
     }
 
     /// Asks the agent to revoke a waiting attempt.
-    pub(super) fn take_back(&mut self, caller: u64) {
+    pub(super) fn revoke_waiting(&mut self, caller: u64) {
         let Some(attempt) = self.requests.get_mut(&caller).and_then(|r| r.attempt.as_mut()) else {
             return;
         };
@@ -231,7 +231,7 @@
     }
 
     pub(super) fn on_revoked(&mut self, id: AttemptId, outcome: Revocation, now: Timestamp) {
-        let Some((caller, attempt)) = self.open(id) else {
+        let Some((caller, attempt)) = self.open_attempt(id) else {
             return;
         };
         if attempt.progress != Progress::Revoking {
@@ -243,25 +243,25 @@
                 if let Some(request) = self.requests.get_mut(&caller) {
                     request.record.steps.push((now, Step::Revoked { endpoint }));
                 }
-                self.not_run(caller, AgentReason::Revoked, RETRY_AFTER, false, now);
+                self.on_not_run(caller, AgentReason::Revoked, RETRY_AFTER, false, now);
             }
             Revocation::Begun => self.on_begun(caller, now),
-            Revocation::Unknown => self.outcome_unknown(caller, AgentReason::Forgotten, now),
-            Revocation::Unreachable => self.unreachable(caller, now),
+            Revocation::Unknown => self.on_outcome_unknown(caller, AgentReason::Forgotten, now),
+            Revocation::Unreachable => self.on_unreachable(caller, now),
         }
     }
 
     /// Whether the open attempt is a probe: it names no incarnation, so no agent begins it.
-    fn is_greeting(&self, caller: u64) -> bool {
+    fn is_probe(&self, caller: u64) -> bool {
         let attempt = self.requests.get(&caller).and_then(|r| r.attempt.as_ref());
         attempt.is_some_and(|a| a.agent == Incarnation::UNKNOWN)
     }
 
     /// Handles an agent that answers neither an attempt nor its revocation: retries a repeatable
     /// stage elsewhere. Other stages wait, because only the agent knows whether the attempt ran.
-    fn unreachable(&mut self, caller: u64, now: Timestamp) {
-        if self.is_greeting(caller) {
-            return self.not_run(caller, AgentReason::AgentUnreachable, RETRY_AFTER, false, now);
+    fn on_unreachable(&mut self, caller: u64, now: Timestamp) {
+        if self.is_probe(caller) {
+            return self.on_not_run(caller, AgentReason::AgentUnreachable, RETRY_AFTER, false, now);
         }
         let Some(request) = self.requests.get(&caller) else {
             return;
@@ -271,35 +271,35 @@
         };
         let endpoint = attempt.endpoint.name.clone();
         if request.may_repeat_stage() {
-            return self.outcome_unknown(caller, AgentReason::AgentUnreachable, now);
+            return self.on_outcome_unknown(caller, AgentReason::AgentUnreachable, now);
         }
         self.suspect(endpoint, now);
     }
 
     pub(super) fn suspect(&mut self, endpoint: String, now: Timestamp) {
         if self.fleet.failed(&endpoint, now) {
-            self.changed(endpoint, EndpointChange::Suspected);
+            self.endpoint_changed(endpoint, EndpointChange::Suspected);
         }
     }
 
-    pub(super) fn is_unheard(&self, id: AttemptId) -> bool {
+    pub(super) fn is_unanswered(&self, id: AttemptId) -> bool {
         let request = self.attempts.get(&id).and_then(|caller| self.requests.get(caller));
         let attempt = request.and_then(|r| r.attempt.as_ref());
-        attempt.is_some_and(|a| a.heard_at.is_none())
+        attempt.is_some_and(|a| a.last_reply_at.is_none())
     }
 
     /// How long a begun attempt may go without a reply: well above the stage's service time, but
     /// short enough for another endpoint to finish before the deadline.
     pub(super) fn stall_limit(&self, caller: u64, now: Timestamp) -> Duration {
         let Some(request) = self.requests.get(&caller) else {
-            return STALL_SHORTEST;
+            return MIN_STALL_LIMIT;
         };
         let stage = request.stage_view();
         let expected = Duration::from_millis(stage.stage.expected_ms);
         let estimate = self.fleet.stage_estimate(stage.key, request.size());
-        let usual = estimate.map_or(expected, |e| e.high());
+        let typical = estimate.map_or(expected, |e| e.high());
         let left = request.deadline.saturating_sub(now).mul_f64(STALL_SHARE);
-        (usual * STALL_FACTOR).max(STALL_SHORTEST).min(left)
+        (typical * STALL_FACTOR).max(MIN_STALL_LIMIT).min(left)
     }
 
     /// Abandons a stalled attempt of a repeatable stage, or schedules the next check.
@@ -312,9 +312,9 @@
         let Some(attempt) = request.attempt.as_ref() else {
             return;
         };
-        let (id, heard_at) = (attempt.id, attempt.heard_at.unwrap_or(attempt.sent_at));
-        if now < heard_at + limit {
-            self.timers.insert((heard_at + limit, caller, Timer::Stall(id)));
+        let (id, last_reply_at) = (attempt.id, attempt.last_reply_at.unwrap_or(attempt.sent_at));
+        if now < last_reply_at + limit {
+            self.timers.insert((last_reply_at + limit, caller, Timer::Stall(id)));
             return;
         }
         if !may_repeat {
@@ -323,6 +323,6 @@
         let endpoint = attempt.endpoint.name.clone();
         let reason = AgentReason::Stalled;
         request.record.steps.push((now, Step::AgentRefused { endpoint, reason }));
-        self.outcome_unknown(caller, reason, now);
+        self.on_outcome_unknown(caller, reason, now);
     }
 }
--- a/src/gateway/replies.rs
+++ b/src/gateway/replies.rs
@@ -22,7 +22,7 @@
         reply: Reply,
         now: Timestamp,
     ) {
-        let Some((caller, attempt)) = self.open(id) else {
+        let Some((caller, attempt)) = self.open_attempt(id) else {
             m::stray();
             return;
         };
@@ -31,12 +31,12 @@
             return;
         }
         attempt.resumes = 0;
-        attempt.heard_at = Some(now);
+        attempt.last_reply_at = Some(now);
         let name = attempt.endpoint.name.clone();
         let was_suspected = self.fleet.get(&name).is_some_and(|e| e.is_suspected(now));
         self.fleet.heard(&name, from, load, now);
         if was_suspected {
-            self.changed(name, EndpointChange::Back);
+            self.endpoint_changed(name, EndpointChange::Back);
         }
         match reply {
             Reply::Queued => {}
@@ -51,13 +51,13 @@
         }
     }
 
-    pub(super) fn open(&mut self, id: AttemptId) -> Option<(u64, &mut Attempt)> {
+    pub(super) fn open_attempt(&mut self, id: AttemptId) -> Option<(u64, &mut Attempt)> {
         let caller = *self.attempts.get(&id)?;
         let attempt = self.requests.get_mut(&caller)?.attempt.as_mut()?;
         (attempt.id == id).then_some((caller, attempt))
     }
 
-    pub(super) fn changed(&mut self, endpoint: String, change: EndpointChange) {
+    pub(super) fn endpoint_changed(&mut self, endpoint: String, change: EndpointChange) {
         self.actions.push(Action::EndpointChanged { endpoint, change });
     }
 
@@ -86,22 +86,22 @@
         let Some(request) = self.requests.get_mut(&caller) else {
             return;
         };
-        let passes_on = request.submission.stream && request.is_last_stage();
+        let forwards = request.submission.stream && request.is_last_stage();
         let Some(attempt) = request.attempt.as_mut() else {
             return;
         };
-        let have = attempt.output.len();
+        let received = attempt.output.len();
         let fresh = match attempt.output.append(offset, data, bound) {
             Ok(fresh) => fresh,
             // A chunk is missing: resume from the end of the received result.
-            Err(AppendError::Gap { .. }) => return self.lose(caller, now),
+            Err(AppendError::Gap { .. }) => return self.recover_call(caller, now),
             Err(AppendError::TooLong { .. }) => {
-                return self.outcome_unknown(caller, AgentReason::EndpointMisbehaved, now);
+                return self.on_outcome_unknown(caller, AgentReason::EndpointMisbehaved, now);
             }
         };
-        if passes_on && !fresh.is_empty() {
+        if forwards && !fresh.is_empty() {
             request.streamed = true;
-            self.actions.push(Action::Chunk { caller, offset: have, data: fresh });
+            self.actions.push(Action::Chunk { caller, offset: received, data: fresh });
         }
     }
 
@@ -118,11 +118,11 @@
             return;
         };
         if attempt.output.len() < length {
-            return self.lose(caller, now);
+            return self.recover_call(caller, now);
         }
         if attempt.output.len() != length || attempt.output.digest() != digest {
             m::mismatch();
-            return self.outcome_unknown(caller, AgentReason::EndpointMisbehaved, now);
+            return self.on_outcome_unknown(caller, AgentReason::EndpointMisbehaved, now);
         }
         self.adopt(caller, digest, service, now);
     }
@@ -143,20 +143,20 @@
             return;
         };
         let endpoint = attempt.endpoint.clone();
-        let learnt = reason == AgentReason::WrongIncarnation && attempt.agent != from;
+        let is_new_incarnation = reason == AgentReason::WrongIncarnation && attempt.agent != from;
         request
             .record
             .steps
             .push((now, Step::AgentRefused { endpoint: endpoint.name.clone(), reason }));
         if ran != Ran::NotRun {
-            return self.outcome_unknown(caller, reason, now);
+            return self.on_outcome_unknown(caller, reason, now);
         }
         if reason == AgentReason::Leaving && self.fleet.leaving(&endpoint.name, now) {
-            self.changed(endpoint.name.clone(), EndpointChange::Leaving);
+            self.endpoint_changed(endpoint.name.clone(), EndpointChange::Leaving);
         }
         if reason == AgentReason::EndpointUnreachable {
             self.suspect(endpoint.name.clone(), now);
         }
-        self.not_run(caller, reason, retry_after, learnt, now);
+        self.on_not_run(caller, reason, retry_after, is_new_incarnation, now);
     }
 }
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -65,7 +65,7 @@
     /// Time of the first send.
     pub sent_at: Timestamp,
     /// Time of the agent's last reply; `None` before the first.
-    pub heard_at: Option<Timestamp>,
+    pub last_reply_at: Option<Timestamp>,
     /// Result received so far.
     pub output: ResultBuffer,
     /// Number of lost calls since the agent's last reply.
@@ -206,14 +206,14 @@
         call,
         progress: Progress::Sent,
         sent_at: now,
-        heard_at: None,
+        last_reply_at: None,
         output: ResultBuffer::default(),
         resumes: 0,
         was_sent: false,
     }
 }
 
-pub(super) fn run_of(
+pub(super) fn run_request(
     request: &Request,
     attempt: AttemptId,
     agent: Incarnation,
@@ -242,7 +242,7 @@
 
 /// Time at which a waiting attempt is next checked for revocation: after the configured share of
 /// the remaining time, and early enough for the revocation to be answered before the deadline.
-pub(super) fn patience(request: &Request, now: Timestamp) -> Timestamp {
+pub(super) fn wait_limit(request: &Request, now: Timestamp) -> Timestamp {
     let left = request.deadline.saturating_sub(now);
     let share = request.view.config.policy.patience.min(1.0 - LAST_REVOKE_SHARE);
     now + left.mul_f64(share)
--- a/src/gateway/shell.rs
+++ b/src/gateway/shell.rs
@@ -48,7 +48,7 @@
 
 impl Callers {
     /// Registers a caller; returns its number and the receiver of its messages.
-    pub fn enter(&self) -> (u64, mpsc::UnboundedReceiver<CallerMessage>) {
+    pub fn register(&self) -> (u64, mpsc::UnboundedReceiver<CallerMessage>) {
         let caller = self.next.fetch_add(1, Ordering::Relaxed) + 1;
         let (sender, receiver) = mpsc::unbounded_channel();
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner).insert(caller, sender);
@@ -66,7 +66,7 @@
     }
 
     /// Unregisters a caller.
-    pub fn leave(&self, caller: u64) {
+    pub fn unregister(&self, caller: u64) {
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner).remove(&caller);
     }
 
@@ -112,8 +112,8 @@
         let (core, channels, address) = (self.core.clone(), self.channels.clone(), endpoint.agent);
         let request = v1::RevokeRequest { attempt: Some(attempt.into()), agent: agent.0, cancel };
         tokio::spawn(async move {
-            let asked = ask_to_revoke(&channels, address, request);
-            let answer = tokio::time::timeout(REVOKE_TIMEOUT, asked).await;
+            let reply = call_revoke(&channels, address, request);
+            let answer = tokio::time::timeout(REVOKE_TIMEOUT, reply).await;
             let outcome = answer.ok().flatten().unwrap_or(Revocation::Unreachable);
             if !cancel {
                 core.send(Event::Revoked { attempt, outcome }).await.ok();
@@ -121,7 +121,7 @@
         });
     }
 
-    fn note(&self, endpoint: String, change: EndpointChange) {
+    fn record_change(&self, endpoint: String, change: EndpointChange) {
         self.audit.record(match change {
             EndpointChange::Suspected => Change::EndpointSuspected { endpoint },
             EndpointChange::Back => Change::EndpointBack { endpoint },
@@ -152,7 +152,7 @@
             Action::Answer { caller, answer } => {
                 self.callers.send(caller, CallerMessage::Answer(answer));
             }
-            Action::EndpointChanged { endpoint, change } => self.note(endpoint, change),
+            Action::EndpointChanged { endpoint, change } => self.record_change(endpoint, change),
         }
     }
 }
@@ -193,7 +193,7 @@
     None
 }
 
-async fn ask_to_revoke(
+async fn call_revoke(
     channels: &Channels,
     address: std::net::SocketAddr,
     request: v1::RevokeRequest,
--- a/src/gateway/sse.rs
+++ b/src/gateway/sse.rs
@@ -42,7 +42,7 @@
     guard: Option<CallerGuard>,
     ticket: Option<(Claim, CallerState)>,
     /// The final answer, held until the end of the run is reported to the ticket's issuing agent.
-    telling: Option<(JoinHandle<()>, Answer)>,
+    reporting: Option<(JoinHandle<()>, Answer)>,
     /// Incomplete UTF-8 sequence at the end of the data received so far.
     tail: BytesMut,
     sent: u64,
@@ -57,13 +57,13 @@
         ticket: Option<(Claim, CallerState)>,
     ) -> Self {
         let tail = BytesMut::new();
-        Self { first, messages, guard: Some(guard), ticket, telling: None, tail, sent: 0 }
+        Self { first, messages, guard: Some(guard), ticket, reporting: None, tail, sent: 0 }
     }
 
     fn poll_message(&mut self, cx: &mut Context<'_>) -> Poll<Option<CallerMessage>> {
-        if let Some((task, _)) = &mut self.telling {
+        if let Some((task, _)) = &mut self.reporting {
             ready!(Pin::new(task).poll(cx)).ok();
-            return Poll::Ready(self.telling.take().map(|(_, a)| CallerMessage::Answer(a)));
+            return Poll::Ready(self.reporting.take().map(|(_, a)| CallerMessage::Answer(a)));
         }
         match self.first.take() {
             Some(first) => Poll::Ready(Some(first)),
@@ -79,30 +79,30 @@
                 self.sent = 0;
                 Bytes::from_static(b"event: reset\ndata: {}\n\n")
             }
-            CallerMessage::Answer(answer) => self.last(&answer),
+            CallerMessage::Answer(answer) => self.final_events(&answer),
         }
     }
 
     fn chunk(&mut self, data: &[u8]) -> Bytes {
         self.tail.extend_from_slice(data);
         let offset = self.sent;
-        let (whole, event) = match std::str::from_utf8(&self.tail) {
+        let (emitted, event) = match std::str::from_utf8(&self.tail) {
             Ok(text) => (text.len(), encode("chunk", &TextChunk { offset, text })),
             Err(error) if error.error_len().is_some() => {
                 (self.tail.len(), encode("chunk", &ByteChunk { offset, bytes: &self.tail }))
             }
             Err(error) => {
-                let whole = error.valid_up_to();
-                let text = std::str::from_utf8(&self.tail[..whole]).unwrap_or_default();
-                (whole, encode("chunk", &TextChunk { offset, text }))
+                let emitted = error.valid_up_to();
+                let text = std::str::from_utf8(&self.tail[..emitted]).unwrap_or_default();
+                (emitted, encode("chunk", &TextChunk { offset, text }))
             }
         };
-        let _ = self.tail.split_to(whole);
-        self.sent += whole as u64;
+        let _ = self.tail.split_to(emitted);
+        self.sent += emitted as u64;
         event
     }
 
-    fn last(&mut self, answer: &Answer) -> Bytes {
+    fn final_events(&mut self, answer: &Answer) -> Bytes {
         self.guard = None;
         match answer {
             Answer::Complete { request, result, digest } => {
@@ -146,11 +146,12 @@
             // The caller may repeat the request right after the answer, so the issuing agent must
             // have the result first. A refusal need not wait.
             Some(CallerMessage::Answer(answer)) if self.ticket.is_some() => {
-                let told = self.ticket.take().map(|(c, s)| finish_ticket(&s, c, &answer));
-                let Some(task) = told.filter(|_| matches!(answer, Answer::Complete { .. })) else {
-                    return Poll::Ready(Some(Ok(Frame::Data(self.last(&answer)))));
+                let report = self.ticket.take().map(|(c, s)| finish_ticket(&s, c, &answer));
+                let Some(task) = report.filter(|_| matches!(answer, Answer::Complete { .. }))
+                else {
+                    return Poll::Ready(Some(Ok(Frame::Data(self.final_events(&answer)))));
                 };
-                self.telling = Some((task, answer));
+                self.reporting = Some((task, answer));
                 return self.poll_frame(cx);
             }
             message => message,
--- a/src/gateway/tickets.rs
+++ b/src/gateway/tickets.rs
@@ -19,7 +19,7 @@
 /// Tolerated difference between the clocks of hosts; the issuing agent enforces the exact expiry.
 const CLOCK_ALLOWANCE: Duration = Duration::from_secs(60);
 /// Timeout of a call to an issuing agent.
-const HOME_TIMEOUT: Duration = Duration::from_millis(500);
+const ISSUER_TIMEOUT: Duration = Duration::from_millis(500);
 const FORMAT: &str = "1";
 
 /// Why a ticket can't be opened or used.
@@ -36,15 +36,15 @@
     Expired,
     /// The issuing agent restarted, is unreachable, or no longer has the ticket.
     #[snafu(display("ticket void, or its issuing agent restarted or is unreachable"))]
-    HomeGone,
+    Void,
     /// None of the agents that were asked opened a ticket.
     #[snafu(display("no agent opened a ticket"))]
-    NoHome,
+    NoIssuer,
 }
 
 /// A newly opened ticket, as returned to the caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Issued {
+pub struct IssuedTicket {
     /// Text to send with the request and with each repeat of it.
     pub ticket: String,
     /// Validity of the ticket, in milliseconds.
@@ -126,15 +126,15 @@
     agents: &[SocketAddr],
     valid: Duration,
     key: &str,
-) -> Result<Issued, TicketError> {
+) -> Result<IssuedTicket, TicketError> {
     let valid_ms = valid.as_millis() as u64;
     for &address in agents {
         let request = v1::OpenTicketRequest { valid_ms };
-        let asked = async {
+        let call = async {
             let channel = channels.get(address).await.ok()?;
             AgentClient::new(channel).open_ticket(request).await.ok()
         };
-        let reply = tokio::time::timeout(HOME_TIMEOUT, asked).await.ok().flatten();
+        let reply = tokio::time::timeout(ISSUER_TIMEOUT, call).await.ok().flatten();
         let Some(reply) = reply.map(tonic::Response::into_inner) else {
             channels.forget(address);
             continue;
@@ -145,14 +145,14 @@
         let expires_unix_ms = (unix_time() + valid).as_millis() as u64;
         let home = Incarnation(reply.home);
         let ticket = Ticket { number: reply.ticket, home, address, expires_unix_ms };
-        return Ok(Issued { ticket: ticket.sign(key), valid_ms });
+        return Ok(IssuedTicket { ticket: ticket.sign(key), valid_ms });
     }
-    NoHomeSnafu.fail()
+    NoIssuerSnafu.fail()
 }
 
 /// State of a ticket's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Fate {
+pub enum TicketState {
     /// No run has begun.
     Free,
     /// A run has begun; no answer is kept.
@@ -167,25 +167,27 @@
 }
 
 /// Reads the state of a ticket from its issuing agent.
-pub async fn read(channels: &Channels, claim: &Claim) -> Result<Fate, TicketError> {
+pub async fn read(channels: &Channels, claim: &Claim) -> Result<TicketState, TicketError> {
     let request = v1::ReadTicketRequest { ticket: claim.ticket, home: claim.home.0 };
-    let asked = async {
+    let call = async {
         let channel = channels.get(claim.address).await.ok()?;
         AgentClient::new(channel).read_ticket(request).await.ok()
     };
-    let reply = tokio::time::timeout(HOME_TIMEOUT, asked).await.ok().flatten();
-    let reply = reply.context(HomeGoneSnafu)?.into_inner();
+    let reply = tokio::time::timeout(ISSUER_TIMEOUT, call).await.ok().flatten();
+    let reply = reply.context(VoidSnafu)?.into_inner();
     match reply.state() {
-        v1::TicketState::Void => HomeGoneSnafu.fail(),
-        v1::TicketState::Free => Ok(Fate::Free),
-        v1::TicketState::Begun => Ok(Fate::Begun),
-        v1::TicketState::Done => Ok(Fate::Done { request: reply.request, answer: reply.answer }),
+        v1::TicketState::Void => VoidSnafu.fail(),
+        v1::TicketState::Free => Ok(TicketState::Free),
+        v1::TicketState::Begun => Ok(TicketState::Begun),
+        v1::TicketState::Done => {
+            Ok(TicketState::Done { request: reply.request, answer: reply.answer })
+        }
     }
 }
 
 /// The end of a run under a ticket.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ended {
+pub struct RunEnd {
     /// Identity of the run.
     pub run: RunId,
     /// Identity of the request.
@@ -198,7 +200,7 @@
 
 /// Reports the end of a run to the issuing agent. If the report fails, a repeat of the request is
 /// refused with `ran: unknown`.
-pub async fn finish(channels: &Channels, claim: &Claim, ended: Ended) {
+pub async fn finish(channels: &Channels, claim: &Claim, ended: RunEnd) {
     let request = v1::FinishTicketRequest {
         ticket: claim.ticket,
         home: claim.home.0,
@@ -207,9 +209,9 @@
         answer: ended.answer,
         request: ended.request,
     };
-    let told = async {
+    let call = async {
         let channel = channels.get(claim.address).await.ok()?;
         AgentClient::new(channel).finish_ticket(request).await.ok()
     };
-    tokio::time::timeout(HOME_TIMEOUT, told).await.ok();
+    tokio::time::timeout(ISSUER_TIMEOUT, call).await.ok();
 }
