--- a/src/agent/calls.rs
+++ b/src/agent/calls.rs
@@ -6,7 +6,7 @@
 
 use super::core::{AgentCore, Attempt, Phase};
 use super::event::{Action, CallId, CallStart};
-use super::queue::Ticket;
+use super::queue::QueueEntry;
 use crate::message::{AgentReason, AttemptId, Incarnation, Ran, Reply, Revocation, Run, Timestamp};
 
 impl AgentCore {
@@ -30,27 +30,27 @@
             return self.attach(call, attempt, run.resume.unwrap_or(0));
         }
         if run.agent != self.incarnation {
-            return self.on_run_for_another_life(call, run, now);
+            return self.on_run_for_other_incarnation(call, run, now);
         }
         if self.floors.get(&attempt.gateway).is_some_and(|f| attempt.sequence <= f.sequence) {
             return self.refuse_call(call, attempt, Ran::Unknown, AgentReason::Forgotten);
         }
         if run.resume.is_some() {
             // The original run request has not arrived; if it arrives later, it must be refused.
-            return self.refuse_first(call, run, AgentReason::Revoked, now);
+            return self.refuse_new(call, run, AgentReason::Revoked, now);
         }
         if self.is_leaving() || !self.is_configured() {
-            return self.refuse_first(call, run, AgentReason::Leaving, now);
+            return self.refuse_new(call, run, AgentReason::Leaving, now);
         }
         if self.queue.len() >= self.bounds.queue {
-            return self.refuse_first(call, run, AgentReason::QueueFull, now);
+            return self.refuse_new(call, run, AgentReason::QueueFull, now);
         }
         self.enqueue(call, run, now);
     }
 
     /// Handles a run request for another incarnation of this agent: an engine may still run an
     /// attempt that an earlier incarnation handed over.
-    pub(super) fn on_run_for_another_life(&mut self, call: CallId, run: Run, now: Timestamp) {
+    pub(super) fn on_run_for_other_incarnation(&mut self, call: CallId, run: Run, now: Timestamp) {
         let attempt = run.attempt;
         let Some(offset) = run.resume else {
             return self.refuse_call(call, attempt, Ran::NotRun, AgentReason::WrongIncarnation);
@@ -74,7 +74,7 @@
         self.actions.push(Action::Call { attempt, start });
     }
 
-    pub(super) fn refuse_first(
+    pub(super) fn refuse_new(
         &mut self,
         call: CallId,
         run: Run,
@@ -88,7 +88,7 @@
 
     pub(super) fn enqueue(&mut self, call: CallId, run: Run, now: Timestamp) {
         let attempt = run.attempt;
-        let ticket = Ticket {
+        let entry = QueueEntry {
             attempt,
             priority: run.priority,
             organisation: run.organisation.clone(),
@@ -96,7 +96,7 @@
         };
         self.attempts.insert(attempt, Attempt::new(run, Some(call), Phase::Queued, now));
         self.calls.insert(call, attempt);
-        self.queue.push(ticket);
+        self.queue.push(entry);
     }
 
     /// Attaches a call to a known attempt: sends the result from `offset` on, and later replies.
--- a/src/agent/core.rs
+++ b/src/agent/core.rs
@@ -18,9 +18,9 @@
 use crate::result::ResultBuffer;
 
 /// An attempt is not begun if less than this share of the typical service time is left.
-const HOPELESS_SHARE: f64 = 0.5;
-/// Number of service time samples required before [`HOPELESS_SHARE`] is applied.
-const HOPELESS_SAMPLES: u32 = 20;
+const MIN_TIME_SHARE: f64 = 0.5;
+/// Number of service time samples required before [`MIN_TIME_SHARE`] is applied.
+const MIN_SAMPLES: u32 = 20;
 
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum Phase {
@@ -89,7 +89,7 @@
     const TICK: Event = Event::Tick;
 
     fn handle(&mut self, event: Event, now: Timestamp) -> Vec<Action> {
-        let asked = match &event {
+        let opened = match &event {
             Event::Run { call, run } => Some((*call, run.attempt)),
             _ => None,
         };
@@ -110,7 +110,7 @@
         }
         self.expire(now);
         self.dispatch(now);
-        if let Some((call, attempt)) = asked {
+        if let Some((call, attempt)) = opened {
             self.acknowledge(call, attempt);
         }
         std::mem::take(&mut self.actions)
@@ -119,8 +119,8 @@
     fn next_wakeup(&self) -> Option<Timestamp> {
         let retained = self.retained.first_key_value().map(|((at, _), _)| *at);
         let orphans = self.orphans.first().map(|(at, _)| *at);
-        let hopeless = self.queue.first_deadline().map(|d| d.saturating_sub(self.least_needed()));
-        [hopeless, retained, orphans].into_iter().flatten().min()
+        let expiry = self.queue.first_deadline().map(|d| d.saturating_sub(self.min_time_needed()));
+        [expiry, retained, orphans].into_iter().flatten().min()
     }
 }
 
@@ -232,7 +232,7 @@
     }
 
     fn expire(&mut self, now: Timestamp) {
-        let latest = now + self.least_needed();
+        let latest = now + self.min_time_needed();
         while let Some(id) = self.queue.pop_expired(latest) {
             self.end_refused(id, Ran::NotRun, AgentReason::DeadlinePassed, now);
         }
@@ -241,11 +241,11 @@
                 break;
             }
             self.orphans.remove(&(at, id));
-            let waits = self
+            let is_orphan = self
                 .attempts
                 .get(&id)
                 .is_some_and(|a| a.phase == Phase::Queued && a.listener.is_none());
-            if waits {
+            if is_orphan {
                 self.end_refused(id, Ran::NotRun, AgentReason::Revoked, now);
             }
         }
@@ -281,19 +281,19 @@
 
     fn dispatch(&mut self, now: Timestamp) {
         while self.running < self.concurrency {
-            let Some(ticket) = self.queue.pop() else {
+            let Some(entry) = self.queue.pop() else {
                 return;
             };
-            self.hand_over(ticket.attempt, now);
+            self.hand_over(entry.attempt, now);
         }
     }
 
     /// Minimum remaining time with which an attempt is begun; with less it would miss its deadline.
-    fn least_needed(&self) -> Duration {
-        if self.service.samples() < HOPELESS_SAMPLES {
+    fn min_time_needed(&self) -> Duration {
+        if self.service.samples() < MIN_SAMPLES {
             return Duration::ZERO;
         }
-        self.service.typical().mul_f64(HOPELESS_SHARE)
+        self.service.typical().mul_f64(MIN_TIME_SHARE)
     }
 
     /// Hands a queued attempt over to the endpoint. From here on the attempt is never reported as
--- a/src/agent/endpoint.rs
+++ b/src/agent/endpoint.rs
@@ -46,9 +46,9 @@
 
 /// Outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OrderAnswer {
+pub enum OrderOutcome {
     /// The engine accepted the order.
-    Taken,
+    Accepted,
     /// The engine has accepted a newer order.
     Refused,
     /// The engine is unreachable or answered with an error.
@@ -103,16 +103,16 @@
     }
 
     /// Sends an order to the engine.
-    pub async fn order(&self, order: &Order) -> OrderAnswer {
+    pub async fn order(&self, order: &Order) -> OrderOutcome {
         let uri = format!("http://{}/v1/orders", self.address);
         let body = serde_json::to_vec(order).unwrap_or_default();
         let Ok(request) = Request::post(uri).body(Full::new(Bytes::from(body))) else {
-            return OrderAnswer::Failed;
+            return OrderOutcome::Failed;
         };
         match self.client.request(request).await.map(|r| r.status()) {
-            Ok(status) if status.is_success() => OrderAnswer::Taken,
-            Ok(StatusCode::CONFLICT) => OrderAnswer::Refused,
-            Ok(_) | Err(_) => OrderAnswer::Failed,
+            Ok(status) if status.is_success() => OrderOutcome::Accepted,
+            Ok(StatusCode::CONFLICT) => OrderOutcome::Refused,
+            Ok(_) | Err(_) => OrderOutcome::Failed,
         }
     }
 
--- a/src/agent/orders.rs
+++ b/src/agent/orders.rs
@@ -10,16 +10,16 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::endpoint::{EndpointClient, OrderAnswer};
+use super::endpoint::{EndpointClient, OrderOutcome};
 use crate::audit::{Audit, Change};
 use crate::config::{Config, Endpoint, EndpointKind};
 use crate::config_store::{ConfigStore, Installed};
 use crate::message::Incarnation;
 
 /// Initial delay before a failed order is retried; it doubles with each further retry.
-const RETRY_FIRST: Duration = Duration::from_millis(200);
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Maximum delay before a failed order is retried.
-const RETRY_LONGEST: Duration = Duration::from_secs(10);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
 
 /// A load order with its fencing token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -33,7 +33,7 @@
 }
 
 /// Items that an endpoint is to have loaded; `None` if no placement selects it.
-pub fn desired(config: &Config, endpoint: &Endpoint) -> Option<Vec<String>> {
+pub fn desired_load(config: &Config, endpoint: &Endpoint) -> Option<Vec<String>> {
     if endpoint.kind != EndpointKind::Engine {
         return None;
     }
@@ -50,10 +50,10 @@
 
 /// Delay after which an endpoint loads, so that the fleet as a whole stays within the weight
 /// store's rate. All agents compute the same order of endpoints, without coordination.
-pub fn turn(config: &Config, endpoint: &Endpoint) -> Duration {
+pub fn load_delay(config: &Config, endpoint: &Endpoint) -> Duration {
     let rank = |name: &str| xxh3_64_with_seed(name.as_bytes(), config.version);
     let own = rank(&endpoint.name);
-    let engines = config.endpoints.iter().filter(|e| desired(config, e).is_some());
+    let engines = config.endpoints.iter().filter(|e| desired_load(config, e).is_some());
     let before = engines.filter(|e| rank(&e.name) < own).count();
     Duration::from_secs_f64(before as f64 / config.policy.loads_per_second)
 }
@@ -79,7 +79,7 @@
         let mut loaded: Option<Vec<String>> = None;
         loop {
             configs.borrow_and_update();
-            if let Some((installed, load)) = self.wanted()
+            if let Some((installed, load)) = self.current_load()
                 && loaded.as_ref() != Some(&load)
             {
                 tokio::select! {
@@ -101,9 +101,9 @@
         }
     }
 
-    fn wanted(&self) -> Option<(Arc<Installed>, Vec<String>)> {
+    fn current_load(&self) -> Option<(Arc<Installed>, Vec<String>)> {
         let installed = self.store.installed()?;
-        let load = desired(&installed.config, self.endpoint(&installed)?)?;
+        let load = desired_load(&installed.config, self.endpoint(&installed)?)?;
         Some((installed, load))
     }
 
@@ -118,31 +118,31 @@
         let Some(endpoint) = self.endpoint(installed) else {
             return false;
         };
-        tokio::time::sleep(turn(&installed.config, endpoint)).await;
+        tokio::time::sleep(load_delay(&installed.config, endpoint)).await;
         let version = installed.config.version;
         let order = Order { version, incarnation: self.incarnation.to_string(), load };
-        let mut wait = RETRY_FIRST;
+        let mut wait = INITIAL_RETRY_DELAY;
         loop {
             // If this process was suspended, the order may be out of date.
             if self.store.version() > version {
                 return false;
             }
             match self.client.order(&order).await {
-                OrderAnswer::Taken => {
-                    self.note(&order, true);
+                OrderOutcome::Accepted => {
+                    self.record_order(&order, true);
                     return true;
                 }
-                OrderAnswer::Refused => {
-                    self.note(&order, false);
+                OrderOutcome::Refused => {
+                    self.record_order(&order, false);
                     return false;
                 }
-                OrderAnswer::Failed => tokio::time::sleep(wait).await,
+                OrderOutcome::Failed => tokio::time::sleep(wait).await,
             }
-            wait = (wait * 2).min(RETRY_LONGEST);
+            wait = (wait * 2).min(MAX_RETRY_DELAY);
         }
     }
 
-    fn note(&self, order: &Order, accepted: bool) {
+    fn record_order(&self, order: &Order, accepted: bool) {
         let endpoint = self.endpoint.clone();
         let order = format!("version {}: load {}", order.version, order.load.join(", "));
         self.audit.record(Change::OrderGiven { endpoint, order, accepted });
--- a/src/agent/queue.rs
+++ b/src/agent/queue.rs
@@ -9,7 +9,7 @@
 
 /// Queue entry of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ticket {
+pub struct QueueEntry {
     /// Identity of the attempt.
     pub attempt: AttemptId,
     /// Priority of the attempt; higher priorities are dispatched first.
@@ -38,48 +38,48 @@
 pub struct Queue {
     levels: BTreeMap<u8, Level>,
     deadlines: BTreeSet<(Timestamp, AttemptId)>,
-    tickets: HashMap<AttemptId, Ticket>,
+    entries: HashMap<AttemptId, QueueEntry>,
 }
 
 impl Queue {
     /// Number of queued attempts.
     pub fn len(&self) -> usize {
-        self.tickets.len()
+        self.entries.len()
     }
 
     /// Whether no attempt is queued.
     pub fn is_empty(&self) -> bool {
-        self.tickets.is_empty()
+        self.entries.is_empty()
     }
 
     /// Adds an attempt.
-    pub fn push(&mut self, ticket: Ticket) {
-        let level = self.levels.entry(ticket.priority).or_default();
+    pub fn push(&mut self, entry: QueueEntry) {
+        let level = self.levels.entry(entry.priority).or_default();
         let least = level.shares.values().map(|s| s.served).min().unwrap_or(0);
-        let share = level.shares.entry(ticket.organisation.clone()).or_default();
+        let share = level.shares.entry(entry.organisation.clone()).or_default();
         share.served = share.served.max(least);
-        share.waiting.insert((ticket.deadline, ticket.attempt));
-        self.deadlines.insert((ticket.deadline, ticket.attempt));
-        self.tickets.insert(ticket.attempt, ticket);
+        share.waiting.insert((entry.deadline, entry.attempt));
+        self.deadlines.insert((entry.deadline, entry.attempt));
+        self.entries.insert(entry.attempt, entry);
     }
 
     /// Removes and returns the next attempt in order.
-    pub fn pop(&mut self) -> Option<Ticket> {
+    pub fn pop(&mut self) -> Option<QueueEntry> {
         let (_, level) = self.levels.last_key_value()?;
         let least = level.shares.values().map(|s| s.served).min()?;
         let eligible = level.shares.values().filter(|s| s.served <= least + FAIR_WINDOW);
         let (_, attempt) = eligible.filter_map(|s| s.waiting.first()).min().copied()?;
-        let ticket = self.take(attempt)?;
-        self.charge(&ticket);
-        Some(ticket)
+        let entry = self.take(attempt)?;
+        self.charge(&entry);
+        Some(entry)
     }
 
     /// Removes an attempt; returns whether it was queued.
     pub fn remove(&mut self, attempt: AttemptId) -> bool {
-        let Some(ticket) = self.take(attempt) else {
+        let Some(entry) = self.take(attempt) else {
             return false;
         };
-        self.tidy(&ticket);
+        self.remove_empty(&entry);
         true
     }
 
@@ -100,36 +100,36 @@
 
     /// All queued attempts, in no particular order.
     pub fn attempts(&self) -> Vec<AttemptId> {
-        self.tickets.keys().copied().collect()
+        self.entries.keys().copied().collect()
     }
 
-    fn take(&mut self, attempt: AttemptId) -> Option<Ticket> {
-        let ticket = self.tickets.remove(&attempt)?;
-        self.deadlines.remove(&(ticket.deadline, attempt));
-        let level = self.levels.get_mut(&ticket.priority)?;
-        let share = level.shares.get_mut(&ticket.organisation)?;
-        share.waiting.remove(&(ticket.deadline, attempt));
-        Some(ticket)
+    fn take(&mut self, attempt: AttemptId) -> Option<QueueEntry> {
+        let entry = self.entries.remove(&attempt)?;
+        self.deadlines.remove(&(entry.deadline, attempt));
+        let level = self.levels.get_mut(&entry.priority)?;
+        let share = level.shares.get_mut(&entry.organisation)?;
+        share.waiting.remove(&(entry.deadline, attempt));
+        Some(entry)
     }
 
-    fn charge(&mut self, ticket: &Ticket) {
-        let level = self.levels.get_mut(&ticket.priority);
-        if let Some(share) = level.and_then(|l| l.shares.get_mut(&ticket.organisation)) {
+    fn charge(&mut self, entry: &QueueEntry) {
+        let level = self.levels.get_mut(&entry.priority);
+        if let Some(share) = level.and_then(|l| l.shares.get_mut(&entry.organisation)) {
             share.served += 1;
         }
-        self.tidy(ticket);
+        self.remove_empty(entry);
     }
 
     /// Removes an organisation without queued attempts, and a level without organisations.
-    fn tidy(&mut self, ticket: &Ticket) {
-        let Some(level) = self.levels.get_mut(&ticket.priority) else {
+    fn remove_empty(&mut self, entry: &QueueEntry) {
+        let Some(level) = self.levels.get_mut(&entry.priority) else {
             return;
         };
-        if level.shares.get(&ticket.organisation).is_some_and(|s| s.waiting.is_empty()) {
-            level.shares.remove(&ticket.organisation);
+        if level.shares.get(&entry.organisation).is_some_and(|s| s.waiting.is_empty()) {
+            level.shares.remove(&entry.organisation);
         }
         if level.shares.is_empty() {
-            self.levels.remove(&ticket.priority);
+            self.levels.remove(&entry.priority);
         }
     }
 }
--- a/src/agent/running.rs
+++ b/src/agent/running.rs
@@ -9,9 +9,9 @@
 use crate::message::{AgentReason, AttemptId, Ran, Reply, Timestamp};
 
 /// Maximum number of consecutive resumes of a stream at the engine.
-const ENGINE_RESUMES: u32 = 6;
+const MAX_ENGINE_RESUMES: u32 = 6;
 /// Initial delay before a stream is resumed; it doubles with each further resume.
-const ENGINE_RESUME_FIRST: Duration = Duration::from_millis(10);
+const INITIAL_ENGINE_RESUME_DELAY: Duration = Duration::from_millis(10);
 
 impl AgentCore {
     pub(super) fn on_endpoint(&mut self, id: AttemptId, event: EndpointEvent, now: Timestamp) {
@@ -59,7 +59,7 @@
             return;
         };
         if attempt.output.len() != length {
-            return self.on_failed(id, EndpointFailure::Cut, ENGINE_RESUMES, now);
+            return self.on_failed(id, EndpointFailure::Cut, MAX_ENGINE_RESUMES, now);
         }
         let digest = attempt.output.digest();
         self.service.add(service);
@@ -80,7 +80,7 @@
                 self.end_refused(id, Ran::NotRun, AgentReason::EndpointUnreachable, now);
             }
             EndpointFailure::Cut | EndpointFailure::Unreachable
-                if self.is_engine && tried < ENGINE_RESUMES =>
+                if self.is_engine && tried < MAX_ENGINE_RESUMES =>
             {
                 self.resume_at_engine(id, tried);
             }
@@ -103,7 +103,7 @@
             *resumes = tried + 1;
         }
         let offset = attempt.output.len();
-        let after = ENGINE_RESUME_FIRST * 2u32.pow(tried);
+        let after = INITIAL_ENGINE_RESUME_DELAY * 2u32.pow(tried);
         let start = CallStart::Resume { offset, after };
         self.actions.push(Action::Call { attempt: id, start });
     }
--- a/src/agent/shell.rs
+++ b/src/agent/shell.rs
@@ -134,15 +134,15 @@
     fn claim(&self, attempt: AttemptId, claim: Claim) {
         let (core, channels) = (self.core.clone(), self.channels.clone());
         tokio::spawn(async move {
-            let answer = ask_home(&channels, &claim).await;
+            let answer = claim_with_timeout(&channels, &claim).await;
             core.send(Event::Claimed { attempt, answer }).await.ok();
         });
     }
 }
 
-async fn ask_home(channels: &Channels, claim: &Claim) -> ClaimAnswer {
-    let asked = tokio::time::timeout(CLAIM_TIMEOUT, claim_at(channels, claim)).await;
-    asked.unwrap_or(ClaimAnswer::Unreachable)
+async fn claim_with_timeout(channels: &Channels, claim: &Claim) -> ClaimAnswer {
+    let answer = tokio::time::timeout(CLAIM_TIMEOUT, claim_at(channels, claim)).await;
+    answer.unwrap_or(ClaimAnswer::Unreachable)
 }
 
 async fn claim_at(channels: &Channels, claim: &Claim) -> ClaimAnswer {
@@ -180,7 +180,7 @@
             return Ok(Replies { receiver, guard: None });
         }
         let call = self.calls.open(sender);
-        let guard = Guard {
+        let guard = CallGuard {
             call,
             calls: self.calls.clone(),
             core: self.core.clone(),
@@ -224,14 +224,14 @@
 }
 
 /// Notifies the core on drop that a gateway's call was closed.
-struct Guard {
+struct CallGuard {
     call: CallId,
     calls: Arc<Calls>,
     core: Handle<AgentCore>,
     runtime: tokio::runtime::Handle,
 }
 
-impl Drop for Guard {
+impl Drop for CallGuard {
     fn drop(&mut self) {
         self.calls.close(self.call);
         self.core.post(Event::CallClosed { call: self.call }, &self.runtime);
@@ -242,7 +242,7 @@
 pub struct Replies {
     receiver: mpsc::UnboundedReceiver<Result<v1::StageReply, Status>>,
     #[allow(dead_code, reason = "dropped with the stream")]
-    guard: Option<Guard>,
+    guard: Option<CallGuard>,
 }
 
 impl Stream for Replies {
--- a/src/agent/tickets.rs
+++ b/src/agent/tickets.rs
@@ -24,7 +24,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Book {
+struct TicketTable {
     entries: HashMap<u64, State>,
     expiries: BTreeSet<(Instant, u64)>,
     answer_bytes: usize,
@@ -34,26 +34,26 @@
 #[derive(Debug)]
 pub struct Tickets {
     home: Incarnation,
-    book: Mutex<Book>,
+    table: Mutex<TicketTable>,
 }
 
 impl Tickets {
     /// Creates an empty set of tickets issued by the incarnation `home`.
     pub fn new(home: Incarnation) -> Self {
-        Self { home, book: Mutex::default() }
+        Self { home, table: Mutex::default() }
     }
 
-    fn with_book<T>(&self, now: Instant, act: impl FnOnce(&mut Book) -> T) -> T {
-        let mut book = self.book.lock().unwrap_or_else(PoisonError::into_inner);
-        book.expire(now);
-        act(&mut book)
+    fn with_table<T>(&self, now: Instant, act: impl FnOnce(&mut TicketTable) -> T) -> T {
+        let mut table = self.table.lock().unwrap_or_else(PoisonError::into_inner);
+        table.expire(now);
+        act(&mut table)
     }
 
     /// Opens a ticket; number 0 means that the maximum number of tickets is reached.
     pub fn open(&self, request: &v1::OpenTicketRequest) -> v1::OpenTicketReply {
         let now = Instant::now();
         let valid = Duration::from_millis(request.valid_ms).min(MAX_VALID);
-        let ticket = self.with_book(now, |book| book.open(now + valid));
+        let ticket = self.with_table(now, |table| table.open(now + valid));
         v1::OpenTicketReply { ticket, home: self.home.0 }
     }
 
@@ -61,7 +61,7 @@
     pub fn claim(&self, request: &v1::ClaimRequest) -> v1::ClaimReply {
         let granted = request.home == self.home.0
             && request.run.is_some_and(|run| {
-                self.with_book(Instant::now(), |book| book.claim(request.ticket, run.into()))
+                self.with_table(Instant::now(), |table| table.claim(request.ticket, run.into()))
             });
         let grant = if granted { v1::Grant::Given } else { v1::Grant::Refused };
         v1::ClaimReply { grant: grant.into() }
@@ -72,19 +72,19 @@
         if request.home != self.home.0 {
             return v1::ReadTicketReply::default();
         }
-        self.with_book(Instant::now(), |book| book.read(request.ticket))
+        self.with_table(Instant::now(), |table| table.read(request.ticket))
     }
 
     /// Records the end of a run.
     pub fn finish(&self, request: v1::FinishTicketRequest) -> v1::FinishTicketReply {
         if let (true, Some(run)) = (request.home == self.home.0, request.run) {
-            self.with_book(Instant::now(), |book| book.finish(request, run.into()));
+            self.with_table(Instant::now(), |table| table.finish(request, run.into()));
         }
         v1::FinishTicketReply {}
     }
 }
 
-impl Book {
+impl TicketTable {
     fn expire(&mut self, now: Instant) {
         while let Some((at, ticket)) = self.expiries.first().copied() {
             if at > now {
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -4,7 +4,7 @@
 
 use hyper::Method;
 use serde_json::json;
-use stackmast::agent::orders::{desired, turn};
+use stackmast::agent::orders::{desired_load, load_delay};
 use stackmast_testbed::client::Client;
 use stackmast_testbed::deployment::two_years;
 use stackmast_testbed::fleet::Fleet;
@@ -57,8 +57,8 @@
         model_version: "1".to_owned(),
         adapters: Vec::new(),
     });
-    let engines = config.endpoints.iter().filter(|e| desired(&config, e).is_some());
-    let mut turns: Vec<_> = engines.map(|e| turn(&config, e).as_millis()).collect();
+    let engines = config.endpoints.iter().filter(|e| desired_load(&config, e).is_some());
+    let mut turns: Vec<_> = engines.map(|e| load_delay(&config, e).as_millis()).collect();
     turns.sort_unstable();
     let expected: Vec<_> = (0..turns.len() as u128).map(|i| i * 100).collect();
     assert!(turns.len() > 5);
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use stackmast::agent::queue::{Queue, Ticket};
+use stackmast::agent::queue::{Queue, QueueEntry};
 use stackmast::config::Limit;
 use stackmast::message::{AttemptId, Incarnation};
 use stackmast::policy::budget::RetryBudget;
@@ -75,10 +75,10 @@
     assert_ne!(SizeClass::of(1 << 10), SizeClass::of(64 << 10));
 }
 
-fn ticket(sequence: u64, priority: u8, organisation: &str, deadline: u64) -> Ticket {
+fn ticket(sequence: u64, priority: u8, organisation: &str, deadline: u64) -> QueueEntry {
     let attempt = AttemptId { gateway: Incarnation(1), sequence };
     let organisation = organisation.to_owned();
-    Ticket { attempt, priority, organisation, deadline: ms(deadline) }
+    QueueEntry { attempt, priority, organisation, deadline: ms(deadline) }
 }
 
 fn order(queue: &mut Queue) -> Vec<u64> {
