--- a/src/agent/endpoint.rs
+++ b/src/agent/endpoint.rs
@@ -168,7 +168,11 @@
     ) -> Result<Response<Incoming>, EndpointFailure> {
         let sent = self.client.request(request).await;
         sent.map_err(|e| {
-            if e.is_connect() { EndpointFailure::Unreachable } else { EndpointFailure::Cut }
+            if e.is_connect() {
+                EndpointFailure::Unreachable
+            } else {
+                EndpointFailure::ConnectionLost
+            }
         })
     }
 }
@@ -216,7 +220,7 @@
 
 async fn next_data(body: &mut Incoming) -> Result<Option<Bytes>, EndpointFailure> {
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| EndpointFailure::Cut)?;
+        let frame = frame.map_err(|_| EndpointFailure::ConnectionLost)?;
         if let Ok(data) = frame.into_data() {
             return Ok(Some(data));
         }
@@ -243,5 +247,5 @@
             return Err(EndpointFailure::Misbehaved);
         }
     }
-    Err(EndpointFailure::Cut)
+    Err(EndpointFailure::ConnectionLost)
 }
--- a/src/agent/event.rs
+++ b/src/agent/event.rs
@@ -49,7 +49,7 @@
     /// The connection could not be established; nothing was sent.
     Unreachable,
     /// The connection was lost after the request may have been sent.
-    Cut,
+    ConnectionLost,
     /// The endpoint answered with an error status.
     Failed,
     /// The endpoint broke the protocol, for example by answering for another attempt.
--- a/src/agent/running.rs
+++ b/src/agent/running.rs
@@ -59,7 +59,7 @@
             return;
         };
         if attempt.output.len() != length {
-            return self.on_failed(id, EndpointFailure::Cut, MAX_ENGINE_RESUMES, now);
+            return self.on_failed(id, EndpointFailure::ConnectionLost, MAX_ENGINE_RESUMES, now);
         }
         let digest = attempt.output.digest();
         self.service.add(service);
@@ -79,7 +79,7 @@
             EndpointFailure::Unreachable if tried == 0 && self.is_first_call(id) => {
                 self.end_refused(id, Ran::NotRun, AgentReason::EndpointUnreachable, now);
             }
-            EndpointFailure::Cut | EndpointFailure::Unreachable
+            EndpointFailure::ConnectionLost | EndpointFailure::Unreachable
                 if self.is_engine && tried < MAX_ENGINE_RESUMES =>
             {
                 self.resume_at_engine(id, tried);
--- a/src/gateway/core.rs
+++ b/src/gateway/core.rs
@@ -88,12 +88,12 @@
     fn handle(&mut self, event: Event, now: Timestamp) -> Vec<Action> {
         match event {
             Event::Submit { caller, submission } => self.on_submit(caller, submission, now),
-            Event::CallerGone { caller } => self.on_caller_gone(caller, now),
+            Event::CallerDisconnected { caller } => self.on_caller_disconnected(caller, now),
             Event::Reply { call, attempt, from, load, reply } => {
                 self.on_reply(call, attempt, from, load, reply, now);
             }
-            Event::Lost { call, attempt } => self.on_call_lost(call, attempt, now),
-            Event::Unsent { call, attempt } => self.on_call_unsent(call, attempt, now),
+            Event::CallLost { call, attempt } => self.on_call_lost(call, attempt, now),
+            Event::CallUnsent { call, attempt } => self.on_call_unsent(call, attempt, now),
             Event::Revoked { attempt, outcome } => self.on_revoked(attempt, outcome, now),
             Event::Configure { view } => self.view = Some(view),
             Event::Gateways { count } => self.gateways = count.max(1),
@@ -379,11 +379,11 @@
         let attempt = self.requests.get_mut(&caller)?.attempt.take()?;
         self.attempts.remove(&attempt.id);
         self.fleet.ended(&attempt.endpoint.name, now);
-        self.actions.push(Action::Hangup { call: attempt.call });
+        self.actions.push(Action::CloseCall { call: attempt.call });
         Some(attempt)
     }
 
-    fn on_caller_gone(&mut self, caller: u64, now: Timestamp) {
+    fn on_caller_disconnected(&mut self, caller: u64, now: Timestamp) {
         if self.requests.contains_key(&caller) {
             self.refuse(caller, Reason::CallerGone, RETRY_AFTER, now);
         }
--- a/src/gateway/event.rs
+++ b/src/gateway/event.rs
@@ -38,7 +38,7 @@
         submission: Submission,
     },
     /// The caller disconnected before its final answer.
-    CallerGone {
+    CallerDisconnected {
         /// Number of the caller.
         caller: u64,
     },
@@ -56,14 +56,14 @@
         reply: Reply,
     },
     /// A call ended without a final reply.
-    Lost {
+    CallLost {
         /// The call.
         call: u64,
         /// The attempt that the call carried.
         attempt: AttemptId,
     },
     /// A call could not be opened; nothing was sent.
-    Unsent {
+    CallUnsent {
         /// The call.
         call: u64,
         /// The attempt that the call was opened for.
@@ -143,8 +143,8 @@
         /// Incarnation of the agent that the attempt was sent to.
         agent: Incarnation,
     },
-    /// Drop an open call.
-    Hangup {
+    /// Close an open call.
+    CloseCall {
         /// The call.
         call: u64,
     },
@@ -184,7 +184,7 @@
     /// The endpoint failed or is unreachable.
     Suspected,
     /// A suspected endpoint replied again.
-    Back,
+    Recovered,
     /// The endpoint is leaving and accepts no new work.
     Leaving,
 }
--- a/src/gateway/http.rs
+++ b/src/gateway/http.rs
@@ -238,7 +238,9 @@
 impl Drop for CallerGuard {
     fn drop(&mut self) {
         self.state.callers.unregister(self.caller);
-        self.state.core.post(Event::CallerGone { caller: self.caller }, &self.state.runtime);
+        self.state
+            .core
+            .post(Event::CallerDisconnected { caller: self.caller }, &self.state.runtime);
     }
 }
 
--- a/src/gateway/recovery.rs
+++ b/src/gateway/recovery.rs
@@ -161,7 +161,7 @@
         let (id, tries) = (attempt.id, attempt.resumes);
         let endpoint = attempt.endpoint.name.clone();
         request.record.steps.push((now, Step::Lost { endpoint: endpoint.clone() }));
-        self.actions.push(Action::Hangup { call });
+        self.actions.push(Action::CloseCall { call });
         self.suspect(endpoint, now);
         if may_repeat && tries > MAX_RESUMES {
             return self.on_outcome_unknown(caller, AgentReason::EndpointUnreachable, now);
--- a/src/gateway/replies.rs
+++ b/src/gateway/replies.rs
@@ -36,7 +36,7 @@
         let was_suspected = self.fleet.get(&name).is_some_and(|e| e.is_suspected(now));
         self.fleet.heard(&name, from, load, now);
         if was_suspected {
-            self.endpoint_changed(name, EndpointChange::Back);
+            self.endpoint_changed(name, EndpointChange::Recovered);
         }
         match reply {
             Reply::Queued => {}
--- a/src/gateway/shell.rs
+++ b/src/gateway/shell.rs
@@ -103,7 +103,7 @@
         let task = tokio::spawn(async move {
             let attempt = run.attempt;
             let event = make_call(&core, &channels, address, call, run).await;
-            core.send(event.unwrap_or(Event::Lost { call, attempt })).await.ok();
+            core.send(event.unwrap_or(Event::CallLost { call, attempt })).await.ok();
         });
         self.calls.insert(call, task.abort_handle());
     }
@@ -124,7 +124,7 @@
     fn record_change(&self, endpoint: String, change: EndpointChange) {
         self.audit.record(match change {
             EndpointChange::Suspected => Change::EndpointSuspected { endpoint },
-            EndpointChange::Back => Change::EndpointBack { endpoint },
+            EndpointChange::Recovered => Change::EndpointBack { endpoint },
             EndpointChange::Leaving => Change::EndpointLeaving { endpoint },
         });
     }
@@ -140,7 +140,7 @@
             Action::Cancel { endpoint, attempt, agent } => {
                 self.revoke(&endpoint, attempt, agent, true);
             }
-            Action::Hangup { call } => {
+            Action::CloseCall { call } => {
                 if let Some(task) = self.calls.remove(&call) {
                     task.abort();
                 }
@@ -168,7 +168,7 @@
 ) -> Option<Event> {
     let attempt = run.attempt;
     let Ok(channel) = channels.get(address).await else {
-        return Some(Event::Unsent { call, attempt });
+        return Some(Event::CallUnsent { call, attempt });
     };
     let mut client = AgentClient::new(channel)
         .max_decoding_message_size(MAX_MESSAGE_LEN)
--- a/tests/schedules/endpoints.rs
+++ b/tests/schedules/endpoints.rs
@@ -73,7 +73,7 @@
                     1 => EndpointFailure::Misbehaved,
                     // The call stalls.
                     2 => return,
-                    _ => EndpointFailure::Cut,
+                    _ => EndpointFailure::ConnectionLost,
                 };
                 let event = EndpointEvent::Failed(failure);
                 return self.endpoint_says(index, after, attempt, event);
--- a/tests/schedules/mod.rs
+++ b/tests/schedules/mod.rs
@@ -373,7 +373,7 @@
     fn break_call(&mut self, i: usize) {
         self.calls[i].broken = true;
         let Call { gateway, life, number, attempt, agent, .. } = self.calls[i].clone();
-        let event = gateway::Event::Lost { call: number, attempt };
+        let event = gateway::Event::CallLost { call: number, attempt };
         self.soon(Step::Gateway { index: gateway, life, event });
         self.soon(Step::Agent { index: agent, message: ToAgent::Closed(CallId(i as u64)) });
     }
--- a/tests/schedules/network.rs
+++ b/tests/schedules/network.rs
@@ -21,7 +21,7 @@
             gateway::Action::Cancel { endpoint, attempt, agent } => {
                 self.send_revoke(index, life, agent_of(&endpoint), attempt, agent, true);
             }
-            gateway::Action::Hangup { call } => {
+            gateway::Action::CloseCall { call } => {
                 let found = self.calls.iter().position(|c| {
                     !c.broken && c.gateway == index && c.life == life && c.number == call
                 });
@@ -48,7 +48,7 @@
     ) {
         let attempt = run.attempt;
         if self.is_cut(gateway, agent) {
-            let event = gateway::Event::Unsent { call: number, attempt };
+            let event = gateway::Event::CallUnsent { call: number, attempt };
             return self.soon(Step::Gateway { index: gateway, life, event });
         }
         let call = Call { gateway, life, number, attempt, agent, broken: false };
