--- a/src/config_store.rs
+++ b/src/config_store.rs
@@ -100,7 +100,7 @@
 
     /// Whether the parts of a manifest should be fetched: its version is newer than the one in
     /// force and its digest is not the last one rejected.
-    pub fn wants(&self, version: u64, digest: &str) -> bool {
+    pub fn should_fetch(&self, version: u64, digest: &str) -> bool {
         let rejected = self.rejected.lock().unwrap_or_else(PoisonError::into_inner);
         version > self.version() && rejected.as_deref() != Some(digest)
     }
@@ -137,8 +137,8 @@
         if version <= before {
             return Ok(if version == before { Outcome::Same } else { Outcome::Older });
         }
-        let checked = self.checked(&bundle, current.as_deref());
-        let assembled = match checked {
+        let validated = self.validate(&bundle, current.as_deref());
+        let assembled = match validated {
             Ok(assembled) => assembled,
             Err(rejection) => {
                 *rejected = Some(digest);
@@ -150,7 +150,7 @@
         Ok(Outcome::Accepted)
     }
 
-    fn checked(
+    fn validate(
         &self,
         bundle: &Bundle,
         current: Option<&Installed>,
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -8,13 +8,13 @@
 use crate::policy::predict::{Estimate, SizeClass};
 
 /// Duration of the first suspicion; it doubles with each consecutive failure.
-const SUSPECT_FIRST: Duration = Duration::from_millis(500);
+const FIRST_SUSPICION: Duration = Duration::from_millis(500);
 /// Upper limit of the duration of a suspicion.
-const SUSPECT_LONGEST: Duration = Duration::from_secs(8);
+const MAX_SUSPICION: Duration = Duration::from_secs(8);
 /// How long a leaving announcement of an agent is valid unless it is repeated.
-const LEAVING_BELIEVED: Duration = Duration::from_secs(10);
+const LEAVING_VALIDITY: Duration = Duration::from_secs(10);
 /// The state of an endpoint is removed after it has been unused for this time.
-const FORGET_AFTER: Duration = Duration::from_secs(600);
+const UNUSED_RETENTION: Duration = Duration::from_secs(600);
 
 /// State of one endpoint, as observed by this gateway.
 #[derive(Debug, Default)]
@@ -27,7 +27,7 @@
     pub report: Option<(Load, Timestamp)>,
     /// Number of consecutive failures.
     pub failures: u32,
-    heard_at: Option<Timestamp>,
+    replied_at: Option<Timestamp>,
     suspected_until: Option<Timestamp>,
     leaving_until: Option<Timestamp>,
     estimates: HashMap<(u64, SizeClass), Estimate>,
@@ -43,7 +43,7 @@
     /// Whether the agent replied within `time` before `now`, so that its incarnation is probably
     /// unchanged.
     pub fn was_heard_within(&self, time: Duration, now: Timestamp) -> bool {
-        self.heard_at.is_some_and(|at| now.saturating_sub(at) < time)
+        self.replied_at.is_some_and(|at| now.saturating_sub(at) < time)
     }
 
     /// Whether the agent announced that it accepts no new work.
@@ -125,7 +125,7 @@
             state.leaving_until = None;
         }
         state.incarnation = from;
-        state.heard_at = Some(now);
+        state.replied_at = Some(now);
         state.suspected_until = None;
         state.failures = 0;
         if let Some(load) = load {
@@ -137,21 +137,21 @@
     /// endpoint was not already suspected.
     pub fn failed(&mut self, name: &str, now: Timestamp) -> bool {
         let state = self.entry(name, now);
-        let news = !state.is_suspected(now);
+        let is_new = !state.is_suspected(now);
         let doublings = state.failures.min(8);
-        let length = (SUSPECT_FIRST * 2u32.pow(doublings)).min(SUSPECT_LONGEST);
+        let length = (FIRST_SUSPICION * 2u32.pow(doublings)).min(MAX_SUSPICION);
         state.failures += 1;
         state.suspected_until = Some(now + length);
-        news
+        is_new
     }
 
     /// Records that the agent announced that it accepts no new work. Returns whether the endpoint
     /// was not already known to be leaving.
     pub fn leaving(&mut self, name: &str, now: Timestamp) -> bool {
         let state = self.entry(name, now);
-        let news = !state.is_leaving(now);
-        state.leaving_until = Some(now + LEAVING_BELIEVED);
-        news
+        let is_new = !state.is_leaving(now);
+        state.leaving_until = Some(now + LEAVING_VALIDITY);
+        is_new
     }
 
     /// Records the measured time of a stage at the endpoint.
@@ -168,9 +168,9 @@
         self.stages.entry((stage, size)).or_default().add(took);
     }
 
-    /// Removes endpoints without attempts in flight that have been unused for [`FORGET_AFTER`].
+    /// Removes endpoints without attempts in flight that have been unused for [`UNUSED_RETENTION`].
     pub fn forget_unused(&mut self, now: Timestamp) {
         self.endpoints
-            .retain(|_, e| e.in_flight > 0 || now.saturating_sub(e.used_at) < FORGET_AFTER);
+            .retain(|_, e| e.in_flight > 0 || now.saturating_sub(e.used_at) < UNUSED_RETENTION);
     }
 }
--- a/src/policy/admit.rs
+++ b/src/policy/admit.rs
@@ -16,15 +16,15 @@
 use crate::view::{PipelineView, View};
 
 /// Retry delay after a refusal that only a change of the configuration can resolve.
-const RETRY_CONFIGURED: Duration = Duration::from_secs(30);
+const CONFIG_RETRY_DELAY: Duration = Duration::from_secs(30);
 /// Retry delay if the load of the pool is unknown.
-const RETRY_UNKNOWN: Duration = Duration::from_millis(500);
+const UNKNOWN_LOAD_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Minimum retry delay after a refusal because of load.
-const RETRY_SHORTEST: Duration = Duration::from_millis(50);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Share of the remaining time that the predicted time may use. Predictions are means; the rest is
 /// a margin for requests that take longer.
-const CONFIDENT_SHARE: f64 = 0.9;
+const PREDICTED_TIME_SHARE: f64 = 0.9;
 
 /// Request to be admitted, with what the decision depends on.
 #[derive(Debug, Clone, Copy)]
@@ -84,7 +84,7 @@
         match &rule.effect {
             Effect::Refuse => {
                 let reason = Reason::Rule { rule: rule.name.clone() };
-                return Err(Refusal::not_run(reason, RETRY_CONFIGURED));
+                return Err(Refusal::not_run(reason, CONFIG_RETRY_DELAY));
             }
             Effect::Priority(priority) if admitted.priority_rule.is_none() => {
                 admitted.priority = *priority;
@@ -109,9 +109,9 @@
     });
     for limit in limits {
         let taken = limiter.take(limit, &organisation.name, candidate.gateways, now);
-        if let Err(empty) = taken {
+        if let Err(exceeded) = taken {
             let reason = Reason::OverLimit { limit: limit.name.clone() };
-            return Err(Refusal::not_run(reason, spread(empty.retry_after, rng)));
+            return Err(Refusal::not_run(reason, spread(exceeded.retry_after, rng)));
         }
     }
     Ok(())
@@ -146,14 +146,14 @@
                 matching: pool.matching,
                 last: None,
             };
-            return Err(Refusal::not_run(reason, spread(RETRY_UNKNOWN, rng)));
+            return Err(Refusal::not_run(reason, spread(UNKNOWN_LOAD_RETRY_DELAY, rng)));
         };
         total += predicted;
         if predicted > slowest.0 {
             slowest = (predicted, &stage.stage.name);
         }
     }
-    let budget = candidate.left.mul_f64(CONFIDENT_SHARE);
+    let budget = candidate.left.mul_f64(PREDICTED_TIME_SHARE);
     if total <= budget || !candidate.view.config.policy.admission {
         return Ok(total);
     }
@@ -167,5 +167,5 @@
 
 /// Adds jitter to a retry delay, so that callers refused at the same time don't all retry at once.
 pub fn spread(retry_after: Duration, rng: &mut impl Rng) -> Duration {
-    retry_after.max(RETRY_SHORTEST).mul_f64(rng.random_range(1.0..1.5))
+    retry_after.max(MIN_RETRY_DELAY).mul_f64(rng.random_range(1.0..1.5))
 }
--- a/src/policy/explain.rs
+++ b/src/policy/explain.rs
@@ -289,7 +289,7 @@
         Step::StageDone { stage, service, length } => {
             format!("{stage} done: {length} bytes, {:.2} ms at the endpoint", millis(*service))
         }
-        Step::AgentRefused { endpoint, reason } => given_up_sentence(endpoint, *reason),
+        Step::AgentRefused { endpoint, reason } => agent_refused_sentence(endpoint, *reason),
         Step::Lost { endpoint } => format!("the connection to the agent of {endpoint} failed"),
         Step::Revoked { endpoint } => format!("revoked at {endpoint}: it waited too long"),
         Step::Completed => "the complete response was sent to the caller".to_owned(),
@@ -297,7 +297,7 @@
     }
 }
 
-fn given_up_sentence(endpoint: &str, reason: AgentReason) -> String {
+fn agent_refused_sentence(endpoint: &str, reason: AgentReason) -> String {
     match reason {
         AgentReason::WrongIncarnation => {
             format!("the agent of {endpoint} has another incarnation: sent again")
@@ -310,7 +310,7 @@
 fn sent_sentence(decision: &Decision) -> String {
     let pool = &decision.pool;
     let rule = decision.rule.as_ref().map_or(String::new(), |r| format!(" under rule {r:?}"));
-    let to = decision.endpoint().map_or("no endpoint", |e| &e.name);
+    let to = decision.endpoint().map_or("nowhere", |e| &e.name);
     format!(
         "{} sent to {to}: selector {:?}{rule} matches {} endpoints ({} leaving)",
         decision.stage, pool.selector, pool.matching, pool.leaving
--- a/src/policy/limit.rs
+++ b/src/policy/limit.rs
@@ -25,7 +25,7 @@
 
 /// Error: the bucket is empty.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Empty {
+pub struct LimitExceeded {
     /// Time until the next token is available, at most one hour.
     pub retry_after: Duration,
 }
@@ -39,11 +39,11 @@
         organisation: &str,
         gateways: usize,
         now: Timestamp,
-    ) -> Result<(), Empty> {
+    ) -> Result<(), LimitExceeded> {
         let share = 1.0 / gateways.max(1) as f64;
         let rate = limit.per_second * share;
         let burst = (limit.burst * share).max(1.0);
-        self.make_room();
+        self.evict();
         let key = (limit.name.clone(), organisation.to_owned());
         let bucket = self.buckets.entry(key).or_insert(Bucket { tokens: burst, filled_at: now });
         let elapsed = now.saturating_sub(bucket.filled_at).as_secs_f64();
@@ -51,7 +51,7 @@
         bucket.filled_at = now;
         if bucket.tokens < 1.0 {
             let wait = (1.0 - bucket.tokens) / rate;
-            return Err(Empty { retry_after: Duration::from_secs_f64(wait.min(3600.0)) });
+            return Err(LimitExceeded { retry_after: Duration::from_secs_f64(wait.min(3600.0)) });
         }
         bucket.tokens -= 1.0;
         Ok(())
@@ -67,7 +67,7 @@
         self.buckets.is_empty()
     }
 
-    fn make_room(&mut self) {
+    fn evict(&mut self) {
         if self.buckets.len() < MAX_BUCKETS {
             return;
         }
--- a/src/policy/path.rs
+++ b/src/policy/path.rs
@@ -13,14 +13,14 @@
 
 /// Share of the time to the objective that the predicted time may use. It is above 1 because
 /// predictions are too high under load, when calls are filled with more pieces.
-const CONFIDENT_SHARE: f64 = 1.1;
+const PREDICTED_TIME_SHARE: f64 = 1.1;
 /// Share of a pool's result memory that may be planned for; the rest is a margin for uneven use of
 /// the endpoints and for prediction errors.
-const ROOM_PLANNED: f64 = 0.7;
+const PLANNED_MEMORY_SHARE: f64 = 0.7;
 /// Longest time that a stage may be planned to wait for result memory.
-const ROOM_WAIT: Duration = Duration::from_millis(100);
+const MAX_MEMORY_WAIT: Duration = Duration::from_millis(100);
 /// Retry delay if no result memory is expected to be free within the timeline.
-const NO_ROOM_RETRY: Duration = Duration::from_millis(400);
+const NO_MEMORY_RETRY_DELAY: Duration = Duration::from_millis(400);
 /// Time that a call takes to fetch its inputs.
 pub const FETCHING: Duration = Duration::from_millis(40);
 /// Margin by which an isolated stage is started earlier than needed to complete together with the
@@ -30,15 +30,15 @@
 /// endpoint that has fetched them.
 pub const HANDED_ON: Duration = Duration::from_millis(90);
 /// Share of time and result memory that is reserved for more urgent requests, per priority level.
-const LEFT_TO_MORE_URGENT: f64 = 0.12;
+const RESERVED_SHARE_PER_PRIORITY: f64 = 0.12;
 /// Smallest share that is available to any priority.
-const OPEN_TO_ALL: f64 = 0.6;
+const MIN_AVAILABLE_SHARE: f64 = 0.6;
 /// Minimum retry delay.
-const SHORTEST_RETRY: Duration = Duration::from_millis(150);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Upper limit of predicted waiting times.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+const MAX_PREDICTED_WAIT: Duration = Duration::from_secs(60);
 /// Maximum retry delay.
-const LONGEST_RETRY: Duration = Duration::from_secs(3);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(3);
 
 /// One stage of a request and the current state of the pool that runs it.
 #[derive(Debug, Clone, PartialEq)]
@@ -91,7 +91,7 @@
 
 /// Share of time and result memory that is available to a priority; 0 is the most urgent.
 pub fn open_share(priority: u8) -> f64 {
-    (1.0 - LEFT_TO_MORE_URGENT * f64::from(priority)).max(OPEN_TO_ALL)
+    (1.0 - RESERVED_SHARE_PER_PRIORITY * f64::from(priority)).max(MIN_AVAILABLE_SHARE)
 }
 
 /// Planned run of a stage.
@@ -99,7 +99,7 @@
 struct Run {
     end: Duration,
     /// Part of the waiting time that is spent waiting for result memory.
-    for_room: Duration,
+    memory_wait: Duration,
     /// Share of the result memory in use during the run, including this stage.
     room_share: f64,
 }
@@ -113,56 +113,58 @@
 }
 
 /// Plans each stage after the stages that it depends on; deferred stages are planned last.
-fn plan(stages: &[StageLoad], after: Duration, open: f64) -> Result<Vec<Run>, NoRoom> {
+fn plan(stages: &[StageLoad], after: Duration, available: f64) -> Result<Vec<Run>, NoRoom> {
     let mut runs = vec![Run::default(); stages.len()];
-    let (held_back, others): (Vec<usize>, Vec<usize>) =
-        (0..stages.len()).partition(|&index| stands_alone(stages, index));
-    for &index in others.iter().chain(&held_back) {
+    let (deferred, others): (Vec<usize>, Vec<usize>) =
+        (0..stages.len()).partition(|&index| is_isolated(stages, index));
+    for &index in others.iter().chain(&deferred) {
         let stage = &stages[index];
         let ready = stage.after.iter().map(|&a| runs[a].end).max().unwrap_or_default();
         if stage.is_done {
             runs[index] = Run { end: ready, ..Run::default() };
             continue;
         }
-        let earliest = if held_back.contains(&index) {
+        let earliest = if deferred.contains(&index) {
             let others = others.iter().map(|&o| runs[o].end).max().unwrap_or_default();
             others.saturating_sub(stage.call + HOLD_SLACK)
         } else {
             ready
         };
-        let wanted_at = earliest.max(ready + stage.waiting());
+        let can_start_at = earliest.max(ready + stage.expected_wait());
         // Results are kept until the next stage has fetched them or the response starts.
-        let next = stages.iter().filter(|s| s.after.contains(&index)).map(StageLoad::waiting).max();
-        let length = stage.call + next.map_or(after.min(HANDED_ON), |waiting| waiting + FETCHING);
-        let bound = (stage.room * ROOM_PLANNED * open).max(stage.wanted);
+        let next =
+            stages.iter().filter(|s| s.after.contains(&index)).map(StageLoad::expected_wait).max();
+        let length = stage.call
+            + next.map_or(after.min(HANDED_ON), |expected_wait| expected_wait + FETCHING);
+        let bound = (stage.room * PLANNED_MEMORY_SHARE * available).max(stage.wanted);
         let start = stage
             .taken
-            .earliest(wanted_at, length, stage.wanted, bound)
+            .earliest(can_start_at, length, stage.wanted, bound)
             .ok_or(NoRoom { stage: index, wait: None })?;
         let share = (stage.taken.peak(start, length) + stage.wanted) / stage.room.max(1.0);
-        let for_room = start.saturating_sub(wanted_at);
-        if for_room > ROOM_WAIT {
-            return Err(NoRoom { stage: index, wait: Some(for_room) });
+        let memory_wait = start.saturating_sub(can_start_at);
+        if memory_wait > MAX_MEMORY_WAIT {
+            return Err(NoRoom { stage: index, wait: Some(memory_wait) });
         }
-        runs[index] = Run { end: start + stage.call, for_room, room_share: share };
+        runs[index] = Run { end: start + stage.call, memory_wait, room_share: share };
     }
     Ok(runs)
 }
 
 /// Whether a stage is isolated: it depends on no other stage and no other stage depends on it.
-fn stands_alone(stages: &[StageLoad], index: usize) -> bool {
+fn is_isolated(stages: &[StageLoad], index: usize) -> bool {
     stages[index].after.is_empty() && !stages.iter().any(|s| s.after.contains(&index))
 }
 
 impl StageLoad {
     /// Expected time that the stage waits for a free slot.
-    fn waiting(&self) -> Duration {
-        self.backlog.div_f64(self.slots.max(0.01)).min(LONGEST_WAIT)
+    fn expected_wait(&self) -> Duration {
+        self.backlog.div_f64(self.slots.max(0.01)).min(MAX_PREDICTED_WAIT)
     }
 }
 
 /// Time until the last stage ends, from now, if no stage has to wait.
-fn work(stages: &[StageLoad]) -> Duration {
+fn time_without_waiting(stages: &[StageLoad]) -> Duration {
     let mut ends: Vec<Duration> = Vec::with_capacity(stages.len());
     for stage in stages {
         let ready = stage.after.iter().map(|&a| ends[a]).max().unwrap_or_default();
@@ -179,31 +181,32 @@
     to_objective: Duration,
     priority: u8,
 ) -> PathDecision {
-    let open = open_share(priority);
-    let runs = plan(stages, after, open);
+    let available = open_share(priority);
+    let runs = plan(stages, after, available);
     let needed = || (0..stages.len()).filter(|&i| !stages[i].is_done);
-    let has_room = runs.is_ok();
+    let has_memory = runs.is_ok();
     let by_share = |runs: &[Run]| {
         let share = |&a: &usize, &b: &usize| runs[a].room_share.total_cmp(&runs[b].room_share);
         needed().max_by(share).unwrap_or_default()
     };
-    let narrowest = runs.as_deref().map_or_else(|full| full.stage, by_share);
-    let wait = runs.as_ref().err().map(|full| full.wait.unwrap_or(NO_ROOM_RETRY));
+    let narrowest = runs.as_deref().map_or_else(|shortage| shortage.stage, by_share);
+    let wait = runs.as_ref().err().map(|shortage| shortage.wait.unwrap_or(NO_MEMORY_RETRY_DELAY));
     let runs = runs.unwrap_or_else(|_| vec![Run::default(); stages.len()]);
     let room_share = runs.get(narrowest).map_or(0.0, |r| r.room_share);
     let predicted = runs.iter().map(|r| r.end).max().unwrap_or_default() + after;
-    let for_room = runs.iter().map(|r| r.for_room).sum();
+    let memory_wait = runs.iter().map(|r| r.memory_wait).sum();
     // The reserved share applies to the waiting time only; the work takes the same time at every
     // priority.
-    let budget = to_objective.mul_f64(CONFIDENT_SHARE);
-    let work = work(stages) + after;
-    let allowed = work + budget.saturating_sub(work).mul_f64(open);
+    let budget = to_objective.mul_f64(PREDICTED_TIME_SHARE);
+    let time_without_waiting = time_without_waiting(stages) + after;
+    let allowed =
+        time_without_waiting + budget.saturating_sub(time_without_waiting).mul_f64(available);
     let refusal = if needed().any(|i| stages[i].slots <= 0.0) {
         Some(PathRefusal::NoEndpoint)
-    } else if !has_room {
+    } else if !has_memory {
         Some(PathRefusal::NoRoom)
     } else if predicted > allowed {
-        let is_late = predicted.saturating_sub(for_room) > allowed;
+        let is_late = predicted.saturating_sub(memory_wait) > allowed;
         Some(if is_late { PathRefusal::WouldBeLate } else { PathRefusal::NoRoom })
     } else {
         None
@@ -212,6 +215,6 @@
         Some(PathRefusal::NoEndpoint) => Duration::from_secs(1),
         _ => wait.unwrap_or_else(|| predicted.saturating_sub(allowed)),
     };
-    let retry_after = excess.clamp(SHORTEST_RETRY, LONGEST_RETRY);
+    let retry_after = excess.clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
     PathDecision { refusal, narrowest, predicted, room_share, retry_after }
 }
--- a/src/policy/place.rs
+++ b/src/policy/place.rs
@@ -9,7 +9,7 @@
 /// Number of requests that is added to this bound, so that it leaves some slack at low loads.
 const LOAD_SLACK: f64 = 6.0;
 /// Cost of another data centre when the least loaded endpoint is chosen, in load per slot.
-const REMOTE: f64 = 0.15;
+const REMOTE_COST: f64 = 0.15;
 
 /// Candidate endpoint.
 #[derive(Debug, Clone, PartialEq)]
@@ -56,31 +56,31 @@
 /// Chooses an endpoint for a request, by its shared prefix if it has one. Returns the index of the
 /// endpoint; `None` if there are no candidates.
 pub fn place(places: &[Place<'_>], prefix: Option<&str>) -> Option<(usize, Because)> {
-    let open: Vec<usize> = (0..places.len()).filter(|&i| !places[i].avoided).collect();
-    if open.is_empty() {
+    let usable: Vec<usize> = (0..places.len()).filter(|&i| !places[i].avoided).collect();
+    if usable.is_empty() {
         let all: Vec<usize> = (0..places.len()).collect();
         return least_loaded(places, &all).map(|i| (i, Because::LastResort));
     }
     let Some(prefix) = prefix else {
-        return least_loaded(places, &open).map(|i| (i, Because::LeastLoad));
+        return least_loaded(places, &usable).map(|i| (i, Because::LeastLoad));
     };
-    let mean = open.iter().map(|&i| places[i].load).sum::<f64>() / open.len() as f64;
+    let mean = usable.iter().map(|&i| places[i].load).sum::<f64>() / usable.len() as f64;
     let bound = mean * LOAD_BOUND + LOAD_SLACK;
     let seed = xxh3_64(prefix.as_bytes());
-    let (home, second) = homes(places, &open, seed);
-    for (home, because) in [(home, Because::Prefix), (second, Because::SecondHome)] {
-        if let Some(i) = home.filter(|&i| places[i].load <= bound) {
+    let (choice, second_choice) = preferred(places, &usable, seed);
+    for (choice, because) in [(choice, Because::Prefix), (second_choice, Because::SecondHome)] {
+        if let Some(i) = choice.filter(|&i| places[i].load <= bound) {
             return Some((i, because));
         }
     }
-    least_loaded(places, &open).map(|i| (i, Because::LeastLoad))
+    least_loaded(places, &usable).map(|i| (i, Because::LeastLoad))
 }
 
 /// The two candidates with the highest rendezvous hash weights for a prefix, highest first.
-fn homes(places: &[Place<'_>], open: &[usize], seed: u64) -> (Option<usize>, Option<usize>) {
+fn preferred(places: &[Place<'_>], usable: &[usize], seed: u64) -> (Option<usize>, Option<usize>) {
     let weight = |i: usize| xxh3_64_with_seed(places[i].id.as_bytes(), seed);
     let mut best: [Option<(u64, usize)>; 2] = [None; 2];
-    for &i in open {
+    for &i in usable {
         let found = Some((weight(i), i));
         if found.map(|f| f.0) > best[0].map(|b| b.0) {
             best = [found, best[0]];
@@ -93,7 +93,7 @@
 
 fn least_loaded(places: &[Place<'_>], among: &[usize]) -> Option<usize> {
     let cost = |p: &Place<'_>| {
-        let distance = if p.is_near { 0.0 } else { REMOTE };
+        let distance = if p.is_near { 0.0 } else { REMOTE_COST };
         (p.load / p.slots.max(1.0)).mul_add(p.slowness, distance)
     };
     among.iter().copied().min_by(|&a, &b| cost(&places[a]).total_cmp(&cost(&places[b])))
--- a/src/policy/route.rs
+++ b/src/policy/route.rs
@@ -16,7 +16,7 @@
 
 /// Factor on the mean waiting time in predictions for admission, because queue lengths differ
 /// between the endpoints of a pool.
-const WAITING_MARGIN: f64 = 1.6;
+const WAIT_FACTOR: f64 = 1.6;
 
 /// Parameters of a routing decision, besides the endpoint states.
 #[derive(Debug, Clone, Copy)]
@@ -60,7 +60,7 @@
             verdict: excluded(question, endpoint, fleet).unwrap_or(Verdict::NotCompared),
         })
         .collect();
-    bound_suspicion(&mut alternatives, question.view.config.policy.suspected_fraction);
+    limit_suspicion(&mut alternatives, question.view.config.policy.suspected_fraction);
     let chosen = compare(question, fleet, &mut alternatives, rng);
     Decision {
         stage: question.stage.stage.name.clone(),
@@ -74,7 +74,7 @@
 
 /// Lifts all suspicions if no other endpoint is usable or if more than `fraction` of the pool is
 /// suspected: the fault is then more likely in this process than in the endpoints.
-fn bound_suspicion(alternatives: &mut [Alternative], fraction: f64) {
+fn limit_suspicion(alternatives: &mut [Alternative], fraction: f64) {
     let suspected = alternatives.iter().filter(|a| a.verdict == Verdict::Suspected).count();
     let usable = alternatives.iter().any(|a| a.verdict == Verdict::NotCompared);
     if usable && suspected as f64 <= fraction * alternatives.len() as f64 {
@@ -92,10 +92,10 @@
     rng: &mut impl Rng,
 ) -> Option<usize> {
     let policy = &question.view.config.policy;
-    let mut open: Vec<usize> = (0..alternatives.len())
+    let mut usable: Vec<usize> = (0..alternatives.len())
         .filter(|&i| alternatives[i].verdict == Verdict::NotCompared)
         .collect();
-    let sample = sample(policy, &mut open, question.turn, rng);
+    let sample = sample(policy, &mut usable, question.turn, rng);
     let mut best: Option<(f64, usize)> = None;
     for &i in sample {
         let endpoint = &alternatives[i].endpoint;
@@ -116,7 +116,7 @@
 /// Selects the candidates to be compared from the usable ones.
 fn sample<'a>(
     policy: &Policy,
-    open: &'a mut [usize],
+    usable: &'a mut [usize],
     turn: u64,
     rng: &mut impl Rng,
 ) -> &'a [usize] {
@@ -124,14 +124,14 @@
         Routing::Predicted => policy.compared,
         Routing::Random => 1,
         Routing::TwoChoices => 2,
-        Routing::LeastInFlight => open.len(),
-        Routing::RoundRobin if open.is_empty() => 0,
+        Routing::LeastInFlight => usable.len(),
+        Routing::RoundRobin if usable.is_empty() => 0,
         Routing::RoundRobin => {
-            let next = turn as usize % open.len();
-            return &open[next..=next];
+            let next = turn as usize % usable.len();
+            return &usable[next..=next];
         }
     };
-    open.partial_shuffle(rng, count).0
+    usable.partial_shuffle(rng, count).0
 }
 
 /// Score of an endpoint, lower is better: milliseconds until completion plus the weighted cost of
@@ -206,5 +206,5 @@
     let slots = f64::from(slots.max(1)) * of_fleet;
     let before = f64::from(demand.of(pool.key)) * gateways as f64;
     let waiting = (before + 1.0 - slots).max(0.0) / slots * service;
-    Some(best.max(Duration::from_secs_f64(service + waiting * WAITING_MARGIN)))
+    Some(best.max(Duration::from_secs_f64(service + waiting * WAIT_FACTOR)))
 }
--- a/src/policy/timeline.rs
+++ b/src/policy/timeline.rs
@@ -10,12 +10,12 @@
 /// Expected use of a resource from now on, in steps of [`STEP`]; later use is unknown.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Timeline {
-    taken: Vec<f64>,
+    in_use: Vec<f64>,
 }
 
 impl Default for Timeline {
     fn default() -> Self {
-        Self { taken: vec![0.0; STEPS] }
+        Self { in_use: vec![0.0; STEPS] }
     }
 }
 
@@ -26,27 +26,27 @@
 
 impl Timeline {
     /// Creates a timeline from the amounts in use in each of the next [`STEPS`] steps.
-    pub const fn from_steps(taken: Vec<f64>) -> Self {
-        Self { taken }
+    pub const fn from_steps(in_use: Vec<f64>) -> Self {
+        Self { in_use }
     }
 
     /// Amounts in use in each step, from now on.
     pub fn steps(&self) -> &[f64] {
-        &self.taken
+        &self.in_use
     }
 
     /// Adds the use of `amount` between two times, both relative to now.
     pub fn add(&mut self, from: Duration, until: Duration, amount: f64) {
         let last = step_at(until).max(step_at(from) + 1).min(STEPS);
-        for taken in &mut self.taken[step_at(from).min(last)..last] {
-            *taken += amount;
+        for in_use in &mut self.in_use[step_at(from).min(last)..last] {
+            *in_use += amount;
         }
     }
 
     /// Peak use during `length`, starting at `from`.
     pub fn peak(&self, from: Duration, length: Duration) -> f64 {
         let last = step_at(from + length).max(step_at(from) + 1).min(STEPS);
-        self.taken[step_at(from).min(last)..last].iter().copied().fold(0.0, f64::max)
+        self.in_use[step_at(from).min(last)..last].iter().copied().fold(0.0, f64::max)
     }
 
     /// The earliest time, not before `from`, at which `amount` fits within `bound` for `length` in
@@ -62,8 +62,8 @@
         let first = step_at(from);
         let needed = step_at(length).max(1);
         let mut free = 0;
-        for (step, taken) in self.taken.iter().enumerate().skip(first) {
-            if taken + amount > bound {
+        for (step, in_use) in self.in_use.iter().enumerate().skip(first) {
+            if in_use + amount > bound {
                 free = 0;
                 start = STEP * (step as u32 + 1);
                 continue;
--- a/src/spread.rs
+++ b/src/spread.rs
@@ -193,25 +193,25 @@
     /// announces versions until the process stops.
     pub async fn run(self: Arc<Self>) {
         self.bootstrap().await;
-        tokio::join!(self.poll_for_good(), self.exchange_for_good(), self.push_for_good());
+        tokio::join!(self.run_polls(), self.run_exchanges(), self.run_announcements());
     }
 
     /// Collects the versions of the platform and the neighbours before any is adopted, so that an
     /// old copy is never served first.
     async fn bootstrap(self: &Arc<Self>) {
-        let mut asked = JoinSet::new();
+        let mut queries = JoinSet::new();
         let platform = self.platform.clone();
-        asked.spawn(async move { Some((Source::Platform, platform.manifest().await.ok()??)) });
+        queries.spawn(async move { Some((Source::Platform, platform.manifest().await.ok()??)) });
         for peer in self.neighbours() {
             let this = self.clone();
-            asked.spawn(async move {
+            queries.spawn(async move {
                 let manifest = this.fetch_manifest(peer, CONFIG).await.ok()?;
                 Some((Source::Peer(peer), serde_json::from_slice(&manifest).ok()?))
             });
         }
         let mut offers: Vec<(Source, Manifest)> = Vec::new();
         let all = async {
-            while let Some(answer) = asked.join_next().await {
+            while let Some(answer) = queries.join_next().await {
                 offers.extend(answer.ok().flatten());
             }
         };
@@ -234,7 +234,7 @@
         self.started.subscribe().wait_for(|started| *started).await.ok();
     }
 
-    async fn poll_for_good(&self) {
+    async fn run_polls(&self) {
         // The first delay is a random part of one interval, so that the poll rate also holds right
         // after the whole fleet has started at once.
         let mut phases = 0.0..1.0;
@@ -249,7 +249,7 @@
         }
     }
 
-    async fn exchange_for_good(&self) {
+    async fn run_exchanges(&self) {
         loop {
             let phase = rand::rng().random_range(0.5..1.5);
             tokio::time::sleep(EXCHANGE_EVERY.mul_f64(phase)).await;
@@ -260,7 +260,7 @@
         }
     }
 
-    async fn push_for_good(self: &Arc<Self>) {
+    async fn run_announcements(self: &Arc<Self>) {
         let mut configs = self.store.subscribe();
         let mut hosts = self.subscribe_hosts();
         loop {
@@ -279,7 +279,7 @@
     pub async fn poll(&self) -> Result<(), PullError> {
         let polled = self.poll_documents().await;
         let answers = !matches!(polled, Err(PullError::Platform { .. }));
-        self.note_platform(answers);
+        self.record_platform_state(answers);
         polled
     }
 
@@ -293,7 +293,7 @@
         Ok(())
     }
 
-    fn note_platform(&self, answers: bool) {
+    fn record_platform_state(&self, answers: bool) {
         let mut answered = self.platform_answered.lock().unwrap_or_else(|p| p.into_inner());
         let before = answered.is_some_and(|at| at.elapsed() < Duration::from_secs(60));
         if answers {
@@ -322,16 +322,16 @@
         if self.store.is_conflict(manifest.version, &manifest.digest) {
             return Ok(());
         }
-        if !self.store.wants(manifest.version, &manifest.digest) {
+        if !self.store.should_fetch(manifest.version, &manifest.digest) {
             return Ok(());
         }
-        let parts = self.gather(&manifest, source).await?;
+        let parts = self.collect_parts(&manifest, source).await?;
         let outcome = self.store.offer(Bundle { manifest, parts }, &source.to_string())?;
         debug_assert!(outcome != Outcome::Older || self.store.version() > 0);
         Ok(())
     }
 
-    async fn gather(
+    async fn collect_parts(
         &self,
         manifest: &Manifest,
         source: Source,
@@ -461,7 +461,7 @@
             return Ok(());
         }
         let _one_at_a_time = self.pulling.lock().await;
-        if !self.store.wants(theirs.version, &theirs.digest) {
+        if !self.store.should_fetch(theirs.version, &theirs.digest) {
             return Ok(());
         }
         let bytes = self.fetch_manifest(peer, CONFIG).await?;
--- a/src/view.rs
+++ b/src/view.rs
@@ -77,7 +77,7 @@
 impl View {
     /// Compiles a checked configuration.
     pub fn new(config: Arc<Config>, digest: String, place: Place) -> Self {
-        let mut pools = Pools { config: &config, place: &place, made: HashMap::new() };
+        let mut pools = Pools { config: &config, place: &place, compiled: HashMap::new() };
         let pipelines = config
             .pipelines
             .iter()
@@ -158,7 +158,7 @@
 struct Pools<'a> {
     config: &'a Config,
     place: &'a Place,
-    made: HashMap<String, Arc<Pool>>,
+    compiled: HashMap<String, Arc<Pool>>,
 }
 
 impl Pools<'_> {
@@ -167,7 +167,7 @@
             Some(only) => format!("{},{only}", stage.endpoints),
             None => stage.endpoints.to_string(),
         };
-        if let Some(pool) = self.made.get(&selector) {
+        if let Some(pool) = self.compiled.get(&selector) {
             return pool.clone();
         }
         let matches = |e: &&Arc<Endpoint>| {
@@ -182,7 +182,7 @@
             leaving: matching.len() - serving.len(),
             members: subset(serving, self.config.policy.subset, self.place),
         });
-        self.made.insert(selector, pool.clone());
+        self.compiled.insert(selector, pool.clone());
         pool
     }
 }
