--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -11,19 +11,19 @@
 use stackmast::config::parts::{join, split};
 use stackmast::fleet::Fleet;
 use stackmast::message::{Incarnation, Load};
-use stackmast::policy::admit::{Candidate, admit};
+use stackmast::policy::admit::{AdmissionRequest, admit};
 use stackmast::policy::demand::Demand;
 use stackmast::policy::limit::Limiter;
 use stackmast::policy::predict::SizeClass;
-use stackmast::policy::route::{Question, choose};
-use stackmast::view::{Place, View};
+use stackmast::policy::route::{RoutingContext, choose};
+use stackmast::view::{Location, View};
 use stackmast_testbed::deployment::two_years;
 
 const ENDPOINTS: usize = 3_000;
 const ORGANISATIONS: usize = 25_000;
 
-fn place() -> Place {
-    Place { host: "gateway-1".to_owned(), data_centre: "dc-1".to_owned() }
+fn location() -> Location {
+    Location { host: "gateway-1".to_owned(), data_centre: "dc-1".to_owned() }
 }
 
 /// A fleet in which every endpoint of the subset has reported and been measured.
@@ -32,7 +32,7 @@
     let now = Duration::from_secs(10);
     for endpoint in view.endpoints_in_use() {
         let load = Load { queued: 2, running: 3, limit: 8 };
-        fleet.heard(&endpoint.name, Incarnation(1), Some(load), now);
+        fleet.replied(&endpoint.name, Incarnation(1), Some(load), now);
         for stage in &view.pipeline("pipeline-0").expect("it is there").stages {
             fleet.measured(
                 &endpoint.name,
@@ -48,7 +48,7 @@
 
 fn decisions(criterion: &mut Criterion) {
     let config = Arc::new(two_years(ENDPOINTS, ORGANISATIONS));
-    let view = View::new(config.clone(), String::new(), place());
+    let view = View::new(config.clone(), String::new(), location());
     let fleet = used(&view);
     let now = Duration::from_secs(11);
     let pipeline = view.pipeline("pipeline-0").expect("it is there");
@@ -62,7 +62,7 @@
         bench.iter(|| {
             number = (number + 7_919) % ORGANISATIONS;
             let organisation = view.organisation(&format!("organisation-{number}"));
-            let candidate = Candidate {
+            let admission = AdmissionRequest {
                 view: &view,
                 pipeline,
                 organisation: organisation.expect("it is there"),
@@ -71,12 +71,12 @@
                 left: Duration::from_secs(2),
                 gateways: 580,
             };
-            black_box(admit(&candidate, &fleet, &demand, &mut limiter, now, &mut rng))
+            black_box(admit(&admission, &fleet, &demand, &mut limiter, now, &mut rng))
         });
     });
     criterion.bench_function("choose an endpoint among a subset of 20", |bench| {
         bench.iter(|| {
-            let question = Question {
+            let context = RoutingContext {
                 view: &view,
                 stage: &pipeline.stages[0],
                 rules: &[0, 1],
@@ -85,7 +85,7 @@
                 turn: 0,
                 now,
             };
-            black_box(choose(&question, &fleet, &mut rng))
+            black_box(choose(&context, &fleet, &mut rng))
         });
     });
 }
@@ -101,7 +101,7 @@
     });
     group.bench_function("checked", |bench| bench.iter(|| black_box(check(&config))));
     group.bench_function("compiled", |bench| {
-        bench.iter(|| black_box(View::new(config.clone(), String::new(), place())));
+        bench.iter(|| black_box(View::new(config.clone(), String::new(), location())));
     });
     group.finish();
 }
--- a/src/agent/calls.rs
+++ b/src/agent/calls.rs
@@ -111,7 +111,7 @@
         self.calls.insert(call, id);
         self.orphans.retain(|(_, orphan)| *orphan != id);
         let from = offset.min(attempt.output.len());
-        let data = attempt.output.from(from);
+        let data = attempt.output.copy_from(from);
         let phase = attempt.phase.clone();
         if matches!(phase, Phase::Running { .. }) || !data.is_empty() {
             self.send(call, id, Reply::Begun);
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -36,7 +36,7 @@
 use crate::platform::{HostState, Platform};
 use crate::settings::{Role, Settings};
 use crate::spread::{self, Spread};
-use crate::view::{Place, View};
+use crate::view::{Location, View};
 use crate::wire::MAX_MESSAGE_LEN;
 use crate::wire::v1::agent_server::AgentServer;
 use crate::wire::v1::peer_server::PeerServer;
@@ -237,10 +237,10 @@
             && installed.config.version > applied
         {
             applied = installed.config.version;
-            let place =
-                Place { host: settings.host.clone(), data_centre: settings.data_centre.clone() };
+            let location =
+                Location { host: settings.host.clone(), data_centre: settings.data_centre.clone() };
             let digest = installed.bundle.manifest.digest.clone();
-            let view = Arc::new(View::new(installed.config.clone(), digest, place));
+            let view = Arc::new(View::new(installed.config.clone(), digest, location));
             core.send(gateway::event::Event::Configure { view }).await.ok();
         }
         let count = spread.gateways();
--- a/src/direct/owner/admission.rs
+++ b/src/direct/owner/admission.rs
@@ -47,7 +47,7 @@
             let reason = match refusal {
                 PathRefusal::NoEndpoint => JobReason::NoEndpoint,
                 PathRefusal::WouldBeLate => JobReason::WouldBeLate,
-                PathRefusal::NoRoom => JobReason::NoRoom,
+                PathRefusal::InsufficientMemory => JobReason::NoRoom,
             };
             let needed = job.stages.iter().filter(|s| s.pieces > s.done.len());
             let needed = needed.filter(|_| refusal == PathRefusal::NoEndpoint);
@@ -81,14 +81,14 @@
         let after = job.after_stages + self.event_lag * job.stages.len() as u32;
         let mut decision = admit_path(&loads, after, job.to_objective, job.priority);
         decision.refusal = decision.refusal.filter(|_| !job.resubmitted);
-        let narrowest = job.stages.get(decision.narrowest);
+        let bottleneck = job.stages.get(decision.bottleneck);
         self.out.push(Action::Log(LogEvent::StagesDecided {
             request: job.request.clone(),
             admitted: decision.refusal.is_none(),
-            pool: narrowest.map_or_else(|| "".into(), |s| s.pool.clone()),
+            pool: bottleneck.map_or_else(|| "".into(), |s| s.pool.clone()),
             predicted_ms: ms(decision.predicted),
             objective_ms: ms(job.to_objective),
-            room_share: (decision.room_share * 100.0).round() / 100.0,
+            room_share: (decision.memory_share * 100.0).round() / 100.0,
         }));
         decision
     }
@@ -133,7 +133,7 @@
         stage: &JobStage,
         allowed_regions: &AllowedRegions,
         call: Duration,
-        taken: Arc<Timeline>,
+        memory_in_use: Arc<Timeline>,
         table: &Table,
     ) -> StageLoad {
         let mut load = StageLoad {
@@ -142,9 +142,9 @@
             slots: 0.0,
             backlog: Duration::ZERO,
             call,
-            room: 0.0,
-            taken,
-            wanted: (stage.pieces as u64 * stage.result_bytes) as f64,
+            result_memory: 0.0,
+            memory_in_use,
+            required_memory: (stage.pieces as u64 * stage.result_bytes) as f64,
         };
         let (Some(spec), Some(pool)) =
             (table.batch_spec(&stage.pool), self.ledger.get(&stage.pool))
@@ -153,7 +153,7 @@
         };
         let endpoints = pool.endpoints.count_in_regions(allowed_regions) as f64;
         load.slots = endpoints * f64::from(spec.slots);
-        load.room = (spec.result_memory_bytes as f64)
+        load.result_memory = (spec.result_memory_bytes as f64)
             .mul_add(endpoints, -(pool.endpoints.used_by_others() as f64));
         load.backlog = backlog(pool.waiting, pool.running, spec);
         load
--- a/src/direct/owner/batching.rs
+++ b/src/direct/owner/batching.rs
@@ -20,7 +20,7 @@
 use crate::invariant;
 use crate::invariant::Violation;
 use crate::message::Timestamp;
-use crate::policy::path::FETCHING;
+use crate::policy::path::INPUT_FETCH_TIME;
 
 /// A call is abandoned after its expected duration multiplied by this factor, plus
 /// [`OVERDUE_MARGIN`].
@@ -132,7 +132,7 @@
             pieces: call_params.iter().map(|o| (o.request.clone(), o.stage, o.piece)).collect(),
             waiting: queued.saturating_sub(pieces.len()),
         }));
-        self.timers.add(now + FETCHING, Timer::InputsFetched(call));
+        self.timers.add(now + INPUT_FETCH_TIME, Timer::InputsFetched(call));
         self.timers.add(now + wait_limit, Timer::Overdue(call));
         let (is_abandoned, has_fetched) = (false, false);
         let (pool, to) = (pool.clone(), endpoint.clone());
--- a/src/direct/owner/entry.rs
+++ b/src/direct/owner/entry.rs
@@ -9,7 +9,7 @@
 use crate::direct::owner::plan::{Occupancy, PlanContext, expected_runs, occupancies};
 use crate::direct::owner::queue::{Rank, Waiting};
 use crate::message::Timestamp;
-use crate::policy::path::HOLD_SLACK;
+use crate::policy::path::DEFERRAL_MARGIN;
 use crate::policy::timeline::STEP;
 
 /// Minimum time until a deferred stage is checked again.
@@ -97,5 +97,5 @@
         return Some(Duration::ZERO);
     }
     let others = run.remaining_time(Some(stage), now);
-    Some(others.saturating_sub(run.calls[stage] + HOLD_SLACK))
+    Some(others.saturating_sub(run.calls[stage] + DEFERRAL_MARGIN))
 }
--- a/src/direct/owner/plan.rs
+++ b/src/direct/owner/plan.rs
@@ -8,7 +8,7 @@
 use crate::direct::peers::message::JobStage;
 use crate::direct::published::table::Table;
 use crate::message::Timestamp;
-use crate::policy::path::{FETCHING, HANDED_ON, HOLD_SLACK};
+use crate::policy::path::{DEFERRAL_MARGIN, FINAL_RESULT_HOLD_TIME, INPUT_FETCH_TIME};
 
 /// Expected remaining time of a call that should have ended already.
 const OVERTIME: Duration = Duration::from_millis(50);
@@ -75,8 +75,8 @@
         let bytes = stage.unfreed() as u64 * spec.result_bytes;
         let users = run.job.stages.iter().zip(runs);
         let users = users.filter(|(s, _)| s.after.contains(&index)).map(|(_, r)| r.start);
-        let handed_on = end + run.job.after_stages.min(HANDED_ON);
-        let until = users.max().map_or(handed_on, |start| start + FETCHING);
+        let handed_on = end + run.job.after_stages.min(FINAL_RESULT_HOLD_TIME);
+        let until = users.max().map_or(handed_on, |start| start + INPUT_FETCH_TIME);
         (bytes > 0).then_some(Occupancy { from: runs[index].start, until, bytes })
     };
     stages.map(occupancy).collect()
@@ -95,7 +95,7 @@
             continue;
         }
         let length = runs[stage].end.saturating_sub(runs[stage].start);
-        let start = others.saturating_sub(length + HOLD_SLACK).max(runs[stage].start);
+        let start = others.saturating_sub(length + DEFERRAL_MARGIN).max(runs[stage].start);
         runs[stage] = ExpectedRun { start, end: start + length };
     }
 }
--- a/src/direct/owner/scheduler.rs
+++ b/src/direct/owner/scheduler.rs
@@ -34,7 +34,7 @@
 use crate::direct::repeats::{RepeatBudget, RepeatLimiter};
 use crate::direct::requests::RESUME_GRACE;
 use crate::message::Timestamp;
-use crate::policy::path::FETCHING;
+use crate::policy::path::INPUT_FETCH_TIME;
 
 /// Interval between two runs of timers, and between two checks of endpoints that change with time.
 const CHECK_INTERVAL: Duration = Duration::from_millis(25);
@@ -320,7 +320,7 @@
             return;
         };
         if !is_only_caller {
-            return self.timers.add(now + FETCHING, Timer::InputsFetched(id));
+            return self.timers.add(now + INPUT_FETCH_TIME, Timer::InputsFetched(id));
         }
         call.has_fetched = true;
         for job in call.jobs() {
--- a/src/direct/requests/endpoints.rs
+++ b/src/direct/requests/endpoints.rs
@@ -5,7 +5,7 @@
 
 use crate::direct::published::model::{Endpoint, Name};
 use crate::message::Timestamp;
-use crate::policy::place::Place;
+use crate::policy::place::Candidate;
 
 /// Basis of the time for which a failing endpoint is avoided; doubles with each consecutive
 /// failure.
@@ -154,18 +154,18 @@
         median: Option<f64>,
         connections: usize,
         now: Timestamp,
-    ) -> Place<'a> {
+    ) -> Candidate<'a> {
         let observed = self.get(endpoint).cloned().unwrap_or_default();
         let slowness = match (observed.response_time_s, median) {
             (Some(own), Some(median)) if median > 0.0 => (own / median).clamp(1.0, 8.0),
             _ => 1.0,
         };
-        Place {
+        Candidate {
             id: &endpoint.id,
             load: f64::from(self.load(endpoint, now)),
             slots: f64::from(endpoint.slots),
             avoided: observed.avoided_until > now || observed.in_flight as usize >= connections,
-            is_near: *endpoint.data_centre == *data_centre,
+            is_local: *endpoint.data_centre == *data_centre,
             slowness,
         }
     }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -42,7 +42,7 @@
 
     /// Whether the agent replied within `time` before `now`, so that its incarnation is probably
     /// unchanged.
-    pub fn was_heard_within(&self, time: Duration, now: Timestamp) -> bool {
+    pub fn has_replied_within(&self, time: Duration, now: Timestamp) -> bool {
         self.replied_at.is_some_and(|at| now.saturating_sub(at) < time)
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Records a reply of the agent, which clears the suspicion of the endpoint.
-    pub fn heard(&mut self, name: &str, from: Incarnation, load: Option<Load>, now: Timestamp) {
+    pub fn replied(&mut self, name: &str, from: Incarnation, load: Option<Load>, now: Timestamp) {
         let state = self.entry(name, now);
         if state.incarnation != from {
             state.leaving_until = None;
--- a/src/gateway/core.rs
+++ b/src/gateway/core.rs
@@ -24,13 +24,13 @@
 use crate::invariant::Violation;
 use crate::message::{AttemptId, Incarnation, Ran, RequestId, Timestamp};
 use crate::metrics as m;
-use crate::policy::admit::{Admitted, Candidate, admit, spread};
+use crate::policy::admit::{AdmissionRequest, Admitted, add_jitter, admit};
 use crate::policy::budget::RetryBudget;
 use crate::policy::demand::Demand;
 use crate::policy::explain::{Decision, Record, RecordStore, Step};
 use crate::policy::limit::Limiter;
 use crate::policy::predict::SizeClass;
-use crate::policy::route::{Question, choose};
+use crate::policy::route::{RoutingContext, choose};
 use crate::refusal::{Reason, Refusal};
 use crate::view::View;
 
@@ -161,7 +161,7 @@
 
     /// Number of retries that the retry budget allows now.
     pub const fn retries_left(&self) -> f64 {
-        self.budget.left()
+        self.budget.remaining()
     }
 
     /// Records of up to `count` ended requests, newest first.
@@ -245,7 +245,7 @@
             let organisation = submission.organisation.clone();
             return refuse(Reason::UnknownOrganisation { organisation });
         };
-        let candidate = Candidate {
+        let admission = AdmissionRequest {
             view: &view,
             pipeline,
             organisation,
@@ -255,7 +255,7 @@
             gateways: self.gateways,
         };
         let admitted =
-            admit(&candidate, &self.fleet, &self.demand, &mut self.limiter, now, &mut self.rng)?;
+            admit(&admission, &self.fleet, &self.demand, &mut self.limiter, now, &mut self.rng)?;
         Ok((view, admitted))
     }
 
@@ -267,7 +267,7 @@
         if now >= request.deadline {
             return self.refuse_deadline_passed(caller, now);
         }
-        let question = Question {
+        let context = RoutingContext {
             view: &request.view,
             stage: request.stage_view(),
             rules: &request.rules,
@@ -276,7 +276,7 @@
             turn: self.next_sequence,
             now,
         };
-        let decision = choose(&question, &self.fleet, &mut self.rng);
+        let decision = choose(&context, &self.fleet, &mut self.rng);
         match decision.endpoint().cloned() {
             Some(endpoint) => self.send(caller, endpoint, decision, now),
             None => self.refuse_no_endpoint(caller, &decision, now),
@@ -320,7 +320,7 @@
             return Incarnation::UNKNOWN;
         };
         let may_repeat = self.requests.get(&caller).is_some_and(Request::may_repeat_stage);
-        if may_repeat || state.was_heard_within(PROBE_AFTER, now) {
+        if may_repeat || state.has_replied_within(PROBE_AFTER, now) {
             return state.incarnation;
         }
         Incarnation::UNKNOWN
@@ -435,7 +435,7 @@
         let ran = if used { Ran::Unknown } else { request.ran() };
         let violation = Violation::FalseNotRun { request: request.record.id.to_string() };
         invariant!(ran != Ran::NotRun || request.stage == 0 && !request.stage_begun, violation);
-        let retry_after = spread(retry_after, &mut self.rng);
+        let retry_after = add_jitter(retry_after, &mut self.rng);
         let refusal = Refusal { ran, reason, stages_run: request.stages_run(), retry_after };
         m::refused(&refusal);
         request.record.steps.push((now, Step::Refused(refusal.clone())));
--- a/src/gateway/recovery.rs
+++ b/src/gateway/recovery.rs
@@ -11,7 +11,7 @@
 use crate::message::{AgentReason, AttemptId, Incarnation, Revocation, Timestamp};
 use crate::metrics as m;
 use crate::policy::explain::Step;
-use crate::policy::route::{Question, choose};
+use crate::policy::route::{RoutingContext, choose};
 use crate::refusal::Reason;
 
 /// Number of resumes without a reply before an attempt of a repeatable stage is abandoned.
@@ -160,7 +160,7 @@
         let call = std::mem::replace(&mut attempt.call, NO_CALL);
         let (id, tries) = (attempt.id, attempt.resumes);
         let endpoint = attempt.endpoint.name.clone();
-        request.record.steps.push((now, Step::Lost { endpoint: endpoint.clone() }));
+        request.record.steps.push((now, Step::ConnectionFailed { endpoint: endpoint.clone() }));
         self.actions.push(Action::CloseCall { call });
         self.suspect(endpoint, now);
         if may_repeat && tries > MAX_RESUMES {
@@ -197,7 +197,7 @@
         };
         let mut tried = request.tried.clone();
         tried.push(attempt.endpoint.name.clone());
-        let question = Question {
+        let context = RoutingContext {
             view: &request.view,
             stage: request.stage_view(),
             rules: &request.rules,
@@ -206,7 +206,7 @@
             turn: 0,
             now,
         };
-        let elsewhere = choose(&question, &self.fleet, &mut self.rng).predicted();
+        let elsewhere = choose(&context, &self.fleet, &mut self.rng).predicted();
         let left = request.deadline.saturating_sub(now);
         if elsewhere.is_some_and(|time| time <= left.mul_f64(MAX_MOVE_SHARE)) {
             return self.revoke_waiting(caller);
--- a/src/gateway/replies.rs
+++ b/src/gateway/replies.rs
@@ -34,7 +34,7 @@
         attempt.last_reply_at = Some(now);
         let name = attempt.endpoint.name.clone();
         let was_suspected = self.fleet.get(&name).is_some_and(|e| e.is_suspected(now));
-        self.fleet.heard(&name, from, load, now);
+        self.fleet.replied(&name, from, load, now);
         if was_suspected {
             self.endpoint_changed(name, EndpointChange::Recovered);
         }
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -171,7 +171,7 @@
         left,
     };
     record.steps.push((now, step));
-    let pools = pipeline.stages.iter().map(|s| s.pool_under(&admitted.rules).0.key).collect();
+    let pools = pipeline.stages.iter().map(|s| s.pool_for_rules(&admitted.rules).0.key).collect();
     Request {
         pools,
         input: submission.input.clone(),
--- a/src/policy/admit.rs
+++ b/src/policy/admit.rs
@@ -8,7 +8,7 @@
 use super::demand::Demand;
 use super::limit::Limiter;
 use super::predict::SizeClass;
-use super::route::{Question, predict_pool};
+use super::route::{RoutingContext, predict_pool};
 use crate::config::{Effect, Labels, Organisation};
 use crate::fleet::Fleet;
 use crate::message::Timestamp;
@@ -28,7 +28,7 @@
 
 /// Request to be admitted, with what the decision depends on.
 #[derive(Debug, Clone, Copy)]
-pub struct Candidate<'a> {
+pub struct AdmissionRequest<'a> {
     /// The configuration.
     pub view: &'a View,
     /// The requested pipeline.
@@ -60,27 +60,27 @@
 
 /// Admits or refuses a request. No stage of a refused request has run.
 pub fn admit(
-    candidate: &Candidate<'_>,
+    admission: &AdmissionRequest<'_>,
     fleet: &Fleet,
     demand: &Demand,
     limiter: &mut Limiter,
     now: Timestamp,
     rng: &mut impl Rng,
 ) -> Result<Admitted, Refusal> {
-    let mut admitted = apply_rules(candidate)?;
-    admitted.predicted = check_path(candidate, &admitted.rules, fleet, demand, now, rng)?;
-    check_limits(candidate, limiter, now, rng)?;
+    let mut admitted = apply_rules(admission)?;
+    admitted.predicted = check_path(admission, &admitted.rules, fleet, demand, now, rng)?;
+    check_limits(admission, limiter, now, rng)?;
     Ok(admitted)
 }
 
-fn apply_rules(candidate: &Candidate<'_>) -> Result<Admitted, Refusal> {
+fn apply_rules(admission: &AdmissionRequest<'_>) -> Result<Admitted, Refusal> {
     let mut admitted = Admitted {
         rules: Vec::new(),
-        priority: candidate.pipeline.pipeline.priority,
+        priority: admission.pipeline.pipeline.priority,
         priority_rule: None,
         predicted: Duration::ZERO,
     };
-    for (i, rule) in candidate.view.rules(&candidate.organisation.labels, candidate.labels) {
+    for (i, rule) in admission.view.rules(&admission.organisation.labels, admission.labels) {
         match &rule.effect {
             Effect::Refuse => {
                 let reason = Reason::Rule { rule: rule.name.clone() };
@@ -98,27 +98,27 @@
 }
 
 fn check_limits(
-    candidate: &Candidate<'_>,
+    admission: &AdmissionRequest<'_>,
     limiter: &mut Limiter,
     now: Timestamp,
     rng: &mut impl Rng,
 ) -> Result<(), Refusal> {
-    let organisation = candidate.organisation;
-    let limits = candidate.view.config.limits.iter().filter(|l| {
-        l.organisations.matches(&organisation.labels) && l.requests.matches(candidate.labels)
+    let organisation = admission.organisation;
+    let limits = admission.view.config.limits.iter().filter(|l| {
+        l.organisations.matches(&organisation.labels) && l.requests.matches(admission.labels)
     });
     for limit in limits {
-        let taken = limiter.take(limit, &organisation.name, candidate.gateways, now);
+        let taken = limiter.take(limit, &organisation.name, admission.gateways, now);
         if let Err(exceeded) = taken {
             let reason = Reason::OverLimit { limit: limit.name.clone() };
-            return Err(Refusal::not_run(reason, spread(exceeded.retry_after, rng)));
+            return Err(Refusal::not_run(reason, add_jitter(exceeded.retry_after, rng)));
         }
     }
     Ok(())
 }
 
 fn check_path(
-    candidate: &Candidate<'_>,
+    admission: &AdmissionRequest<'_>,
     rules: &[usize],
     fleet: &Fleet,
     demand: &Demand,
@@ -127,45 +127,45 @@
 ) -> Result<Duration, Refusal> {
     let mut total = Duration::ZERO;
     let mut slowest = (Duration::ZERO, "");
-    for stage in &candidate.pipeline.stages {
-        let question = Question {
-            view: candidate.view,
+    for stage in &admission.pipeline.stages {
+        let context = RoutingContext {
+            view: admission.view,
             stage,
             rules,
-            size: candidate.size,
+            size: admission.size,
             tried: &[],
             turn: 0,
             now,
         };
-        let predicted = predict_pool(&question, fleet, demand, candidate.gateways);
+        let predicted = predict_pool(&context, fleet, demand, admission.gateways);
         let Some(predicted) = predicted else {
-            let (pool, _) = stage.pool_under(rules);
+            let (pool, _) = stage.pool_for_rules(rules);
             let reason = Reason::NoEndpoint {
                 stage: stage.stage.name.clone(),
                 selector: pool.selector.clone(),
                 matching: pool.matching,
                 last: None,
             };
-            return Err(Refusal::not_run(reason, spread(UNKNOWN_LOAD_RETRY_DELAY, rng)));
+            return Err(Refusal::not_run(reason, add_jitter(UNKNOWN_LOAD_RETRY_DELAY, rng)));
         };
         total += predicted;
         if predicted > slowest.0 {
             slowest = (predicted, &stage.stage.name);
         }
     }
-    let budget = candidate.left.mul_f64(PREDICTED_TIME_SHARE);
-    if total <= budget || !candidate.view.config.policy.admission {
+    let budget = admission.left.mul_f64(PREDICTED_TIME_SHARE);
+    if total <= budget || !admission.view.config.policy.admission {
         return Ok(total);
     }
     let reason = Reason::WouldBeLate {
         predicted_ms: total.as_millis() as u64,
-        left_ms: candidate.left.as_millis() as u64,
+        left_ms: admission.left.as_millis() as u64,
         slowest_stage: slowest.1.to_owned(),
     };
-    Err(Refusal::not_run(reason, spread(total - budget, rng)))
+    Err(Refusal::not_run(reason, add_jitter(total - budget, rng)))
 }
 
 /// Adds jitter to a retry delay, so that callers refused at the same time don't all retry at once.
-pub fn spread(retry_after: Duration, rng: &mut impl Rng) -> Duration {
+pub fn add_jitter(retry_after: Duration, rng: &mut impl Rng) -> Duration {
     retry_after.max(MIN_RETRY_DELAY).mul_f64(rng.random_range(1.0..1.5))
 }
--- a/src/policy/budget.rs
+++ b/src/policy/budget.rs
@@ -32,7 +32,7 @@
     }
 
     /// Number of tokens that remain.
-    pub const fn left(&self) -> f64 {
+    pub const fn remaining(&self) -> f64 {
         self.tokens
     }
 }
--- a/src/policy/explain.rs
+++ b/src/policy/explain.rs
@@ -115,7 +115,7 @@
         reason: AgentReason,
     },
     /// The connection to the agent failed.
-    Lost {
+    ConnectionFailed {
         /// Name of the endpoint.
         endpoint: String,
     },
@@ -290,7 +290,9 @@
             format!("{stage} done: {length} bytes, {:.2} ms at the endpoint", millis(*service))
         }
         Step::AgentRefused { endpoint, reason } => agent_refused_sentence(endpoint, *reason),
-        Step::Lost { endpoint } => format!("the connection to the agent of {endpoint} failed"),
+        Step::ConnectionFailed { endpoint } => {
+            format!("the connection to the agent of {endpoint} failed")
+        }
         Step::Revoked { endpoint } => format!("revoked at {endpoint}: it waited too long"),
         Step::Completed => "the complete response was sent to the caller".to_owned(),
         Step::Refused(refusal) => refusal_sentence(refusal),
--- a/src/policy/path.rs
+++ b/src/policy/path.rs
@@ -22,13 +22,13 @@
 /// Retry delay if no result memory is expected to be free within the timeline.
 const NO_MEMORY_RETRY_DELAY: Duration = Duration::from_millis(400);
 /// Time that a call takes to fetch its inputs.
-pub const FETCHING: Duration = Duration::from_millis(40);
+pub const INPUT_FETCH_TIME: Duration = Duration::from_millis(40);
 /// Margin by which an isolated stage is started earlier than needed to complete together with the
 /// other stages. A still earlier start would only hold its results for longer.
-pub const HOLD_SLACK: Duration = Duration::from_millis(120);
+pub const DEFERRAL_MARGIN: Duration = Duration::from_millis(120);
 /// How long the final results are kept after the last stage: until the request has been sent to an
 /// endpoint that has fetched them.
-pub const HANDED_ON: Duration = Duration::from_millis(90);
+pub const FINAL_RESULT_HOLD_TIME: Duration = Duration::from_millis(90);
 /// Share of time and result memory that is reserved for more urgent requests, per priority level.
 const RESERVED_SHARE_PER_PRIORITY: f64 = 0.12;
 /// Smallest share that is available to any priority.
@@ -54,11 +54,11 @@
     /// Duration of the call that runs the stage.
     pub call: Duration,
     /// Result memory of the pool, in bytes.
-    pub room: f64,
+    pub result_memory: f64,
     /// Expected use of the result memory over time, in bytes.
-    pub taken: Arc<Timeline>,
+    pub memory_in_use: Arc<Timeline>,
     /// Result memory that this stage needs, in bytes.
-    pub wanted: f64,
+    pub required_memory: f64,
 }
 
 /// Why the stages of a request are not started.
@@ -69,7 +69,7 @@
     /// The response is predicted to start after the objective.
     WouldBeLate,
     /// The results would not fit into the result memory in time.
-    NoRoom,
+    InsufficientMemory,
 }
 
 /// Admission decision with the values that it is based on.
@@ -79,18 +79,18 @@
     pub refusal: Option<PathRefusal>,
     /// Index of the stage whose results don't fit, or else of the stage whose pool has the highest
     /// share of its result memory in use.
-    pub narrowest: usize,
+    pub bottleneck: usize,
     /// Predicted time until the response starts.
     pub predicted: Duration,
     /// Share of that pool's result memory in use when the stage runs, including this request; 0 if
     /// the results don't fit.
-    pub room_share: f64,
+    pub memory_share: f64,
     /// Delay after which the caller may retry.
     pub retry_after: Duration,
 }
 
 /// Share of time and result memory that is available to a priority; 0 is the most urgent.
-pub fn open_share(priority: u8) -> f64 {
+pub fn available_share(priority: u8) -> f64 {
     (1.0 - RESERVED_SHARE_PER_PRIORITY * f64::from(priority)).max(MIN_AVAILABLE_SHARE)
 }
 
@@ -101,19 +101,23 @@
     /// Part of the waiting time that is spent waiting for result memory.
     memory_wait: Duration,
     /// Share of the result memory in use during the run, including this stage.
-    room_share: f64,
+    memory_share: f64,
 }
 
 /// A stage whose results don't fit into the result memory in time.
 #[derive(Debug, Clone, Copy)]
-struct NoRoom {
+struct InsufficientMemory {
     stage: usize,
     /// Time from when the stage could start until memory is free; `None` if it is unknown.
     wait: Option<Duration>,
 }
 
 /// Plans each stage after the stages that it depends on; deferred stages are planned last.
-fn plan(stages: &[StageLoad], after: Duration, available: f64) -> Result<Vec<Run>, NoRoom> {
+fn plan(
+    stages: &[StageLoad],
+    after: Duration,
+    available: f64,
+) -> Result<Vec<Run>, InsufficientMemory> {
     let mut runs = vec![Run::default(); stages.len()];
     let (deferred, others): (Vec<usize>, Vec<usize>) =
         (0..stages.len()).partition(|&index| is_isolated(stages, index));
@@ -126,7 +130,7 @@
         }
         let earliest = if deferred.contains(&index) {
             let others = others.iter().map(|&o| runs[o].end).max().unwrap_or_default();
-            others.saturating_sub(stage.call + HOLD_SLACK)
+            others.saturating_sub(stage.call + DEFERRAL_MARGIN)
         } else {
             ready
         };
@@ -135,18 +139,22 @@
         let next =
             stages.iter().filter(|s| s.after.contains(&index)).map(StageLoad::expected_wait).max();
         let length = stage.call
-            + next.map_or(after.min(HANDED_ON), |expected_wait| expected_wait + FETCHING);
-        let bound = (stage.room * PLANNED_MEMORY_SHARE * available).max(stage.wanted);
+            + next.map_or(after.min(FINAL_RESULT_HOLD_TIME), |expected_wait| {
+                expected_wait + INPUT_FETCH_TIME
+            });
+        let bound =
+            (stage.result_memory * PLANNED_MEMORY_SHARE * available).max(stage.required_memory);
         let start = stage
-            .taken
-            .earliest(can_start_at, length, stage.wanted, bound)
-            .ok_or(NoRoom { stage: index, wait: None })?;
-        let share = (stage.taken.peak(start, length) + stage.wanted) / stage.room.max(1.0);
+            .memory_in_use
+            .earliest_fit(can_start_at, length, stage.required_memory, bound)
+            .ok_or(InsufficientMemory { stage: index, wait: None })?;
+        let share = (stage.memory_in_use.peak(start, length) + stage.required_memory)
+            / stage.result_memory.max(1.0);
         let memory_wait = start.saturating_sub(can_start_at);
         if memory_wait > MAX_MEMORY_WAIT {
-            return Err(NoRoom { stage: index, wait: Some(memory_wait) });
+            return Err(InsufficientMemory { stage: index, wait: Some(memory_wait) });
         }
-        runs[index] = Run { end: start + stage.call, memory_wait, room_share: share };
+        runs[index] = Run { end: start + stage.call, memory_wait, memory_share: share };
     }
     Ok(runs)
 }
@@ -181,18 +189,18 @@
     to_objective: Duration,
     priority: u8,
 ) -> PathDecision {
-    let available = open_share(priority);
+    let available = available_share(priority);
     let runs = plan(stages, after, available);
     let needed = || (0..stages.len()).filter(|&i| !stages[i].is_done);
     let has_memory = runs.is_ok();
     let by_share = |runs: &[Run]| {
-        let share = |&a: &usize, &b: &usize| runs[a].room_share.total_cmp(&runs[b].room_share);
+        let share = |&a: &usize, &b: &usize| runs[a].memory_share.total_cmp(&runs[b].memory_share);
         needed().max_by(share).unwrap_or_default()
     };
-    let narrowest = runs.as_deref().map_or_else(|shortage| shortage.stage, by_share);
+    let bottleneck = runs.as_deref().map_or_else(|shortage| shortage.stage, by_share);
     let wait = runs.as_ref().err().map(|shortage| shortage.wait.unwrap_or(NO_MEMORY_RETRY_DELAY));
     let runs = runs.unwrap_or_else(|_| vec![Run::default(); stages.len()]);
-    let room_share = runs.get(narrowest).map_or(0.0, |r| r.room_share);
+    let memory_share = runs.get(bottleneck).map_or(0.0, |r| r.memory_share);
     let predicted = runs.iter().map(|r| r.end).max().unwrap_or_default() + after;
     let memory_wait = runs.iter().map(|r| r.memory_wait).sum();
     // The reserved share applies to the waiting time only; the work takes the same time at every
@@ -204,10 +212,10 @@
     let refusal = if needed().any(|i| stages[i].slots <= 0.0) {
         Some(PathRefusal::NoEndpoint)
     } else if !has_memory {
-        Some(PathRefusal::NoRoom)
+        Some(PathRefusal::InsufficientMemory)
     } else if predicted > allowed {
         let is_late = predicted.saturating_sub(memory_wait) > allowed;
-        Some(if is_late { PathRefusal::WouldBeLate } else { PathRefusal::NoRoom })
+        Some(if is_late { PathRefusal::WouldBeLate } else { PathRefusal::InsufficientMemory })
     } else {
         None
     };
@@ -216,5 +224,5 @@
         _ => wait.unwrap_or_else(|| predicted.saturating_sub(allowed)),
     };
     let retry_after = excess.clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
-    PathDecision { refusal, narrowest, predicted, room_share, retry_after }
+    PathDecision { refusal, bottleneck, predicted, memory_share, retry_after }
 }
--- a/src/policy/place.rs
+++ b/src/policy/place.rs
@@ -13,7 +13,7 @@
 
 /// Candidate endpoint.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Place<'a> {
+pub struct Candidate<'a> {
     /// Id of the endpoint.
     pub id: &'a str,
     /// Known number of running and queued requests.
@@ -23,30 +23,30 @@
     /// Whether the endpoint failed recently.
     pub avoided: bool,
     /// Whether the endpoint is in this gateway's data centre.
-    pub is_near: bool,
+    pub is_local: bool,
     /// Response time relative to that of the pool.
     pub slowness: f64,
 }
 
 /// Reason for the choice of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Because {
+pub enum PlacementReason {
     /// First choice by the hash of the shared prefix.
     Prefix,
     /// Second choice by the hash of the shared prefix; the first one exceeds the load bound.
-    SecondHome,
+    SecondChoice,
     /// The endpoint is the least loaded one.
     LeastLoad,
     /// All endpoints failed recently; the least loaded one was chosen.
     LastResort,
 }
 
-impl Because {
+impl PlacementReason {
     /// Name of the reason in log events.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Prefix => "prefix",
-            Self::SecondHome => "second_home",
+            Self::SecondChoice => "second_home",
             Self::LeastLoad => "least_load",
             Self::LastResort => "last_resort",
         }
@@ -55,30 +55,39 @@
 
 /// Chooses an endpoint for a request, by its shared prefix if it has one. Returns the index of the
 /// endpoint; `None` if there are no candidates.
-pub fn place(places: &[Place<'_>], prefix: Option<&str>) -> Option<(usize, Because)> {
-    let usable: Vec<usize> = (0..places.len()).filter(|&i| !places[i].avoided).collect();
+pub fn place(
+    candidates: &[Candidate<'_>],
+    prefix: Option<&str>,
+) -> Option<(usize, PlacementReason)> {
+    let usable: Vec<usize> = (0..candidates.len()).filter(|&i| !candidates[i].avoided).collect();
     if usable.is_empty() {
-        let all: Vec<usize> = (0..places.len()).collect();
-        return least_loaded(places, &all).map(|i| (i, Because::LastResort));
+        let all: Vec<usize> = (0..candidates.len()).collect();
+        return least_loaded(candidates, &all).map(|i| (i, PlacementReason::LastResort));
     }
     let Some(prefix) = prefix else {
-        return least_loaded(places, &usable).map(|i| (i, Because::LeastLoad));
+        return least_loaded(candidates, &usable).map(|i| (i, PlacementReason::LeastLoad));
     };
-    let mean = usable.iter().map(|&i| places[i].load).sum::<f64>() / usable.len() as f64;
+    let mean = usable.iter().map(|&i| candidates[i].load).sum::<f64>() / usable.len() as f64;
     let bound = mean * LOAD_BOUND + LOAD_SLACK;
     let seed = xxh3_64(prefix.as_bytes());
-    let (choice, second_choice) = preferred(places, &usable, seed);
-    for (choice, because) in [(choice, Because::Prefix), (second_choice, Because::SecondHome)] {
-        if let Some(i) = choice.filter(|&i| places[i].load <= bound) {
-            return Some((i, because));
+    let (choice, second_choice) = preferred(candidates, &usable, seed);
+    for (choice, reason) in
+        [(choice, PlacementReason::Prefix), (second_choice, PlacementReason::SecondChoice)]
+    {
+        if let Some(i) = choice.filter(|&i| candidates[i].load <= bound) {
+            return Some((i, reason));
         }
     }
-    least_loaded(places, &usable).map(|i| (i, Because::LeastLoad))
+    least_loaded(candidates, &usable).map(|i| (i, PlacementReason::LeastLoad))
 }
 
 /// The two candidates with the highest rendezvous hash weights for a prefix, highest first.
-fn preferred(places: &[Place<'_>], usable: &[usize], seed: u64) -> (Option<usize>, Option<usize>) {
-    let weight = |i: usize| xxh3_64_with_seed(places[i].id.as_bytes(), seed);
+fn preferred(
+    candidates: &[Candidate<'_>],
+    usable: &[usize],
+    seed: u64,
+) -> (Option<usize>, Option<usize>) {
+    let weight = |i: usize| xxh3_64_with_seed(candidates[i].id.as_bytes(), seed);
     let mut best: [Option<(u64, usize)>; 2] = [None; 2];
     for &i in usable {
         let found = Some((weight(i), i));
@@ -91,10 +100,10 @@
     (best[0].map(|b| b.1), best[1].map(|b| b.1))
 }
 
-fn least_loaded(places: &[Place<'_>], among: &[usize]) -> Option<usize> {
-    let cost = |p: &Place<'_>| {
-        let distance = if p.is_near { 0.0 } else { REMOTE_COST };
+fn least_loaded(candidates: &[Candidate<'_>], among: &[usize]) -> Option<usize> {
+    let cost = |p: &Candidate<'_>| {
+        let distance = if p.is_local { 0.0 } else { REMOTE_COST };
         (p.load / p.slots.max(1.0)).mul_add(p.slowness, distance)
     };
-    among.iter().copied().min_by(|&a, &b| cost(&places[a]).total_cmp(&cost(&places[b])))
+    among.iter().copied().min_by(|&a, &b| cost(&candidates[a]).total_cmp(&cost(&candidates[b])))
 }
--- a/src/policy/route.rs
+++ b/src/policy/route.rs
@@ -20,7 +20,7 @@
 
 /// Parameters of a routing decision, besides the endpoint states.
 #[derive(Debug, Clone, Copy)]
-pub struct Question<'a> {
+pub struct RoutingContext<'a> {
     /// The configuration.
     pub view: &'a View,
     /// The stage to run.
@@ -38,37 +38,37 @@
 }
 
 /// Why an endpoint is excluded from the choice; `None` if it is usable.
-fn excluded(question: &Question<'_>, endpoint: &Endpoint, fleet: &Fleet) -> Option<Verdict> {
-    if question.tried.contains(&endpoint.name) {
+fn excluded(context: &RoutingContext<'_>, endpoint: &Endpoint, fleet: &Fleet) -> Option<Verdict> {
+    if context.tried.contains(&endpoint.name) {
         return Some(Verdict::Tried);
     }
     let state = fleet.get(&endpoint.name)?;
-    if state.is_leaving(question.now) {
+    if state.is_leaving(context.now) {
         return Some(Verdict::Leaving);
     }
-    state.is_suspected(question.now).then_some(Verdict::Suspected)
+    state.is_suspected(context.now).then_some(Verdict::Suspected)
 }
 
 /// Chooses the endpoint for a stage; the decision lists every candidate with its verdict.
-pub fn choose(question: &Question<'_>, fleet: &Fleet, rng: &mut impl Rng) -> Decision {
-    let (pool, rule) = question.stage.pool_under(question.rules);
+pub fn choose(context: &RoutingContext<'_>, fleet: &Fleet, rng: &mut impl Rng) -> Decision {
+    let (pool, rule) = context.stage.pool_for_rules(context.rules);
     let mut alternatives: Vec<Alternative> = pool
         .members
         .iter()
         .map(|endpoint| Alternative {
             endpoint: endpoint.clone(),
-            verdict: excluded(question, endpoint, fleet).unwrap_or(Verdict::NotCompared),
+            verdict: excluded(context, endpoint, fleet).unwrap_or(Verdict::NotCompared),
         })
         .collect();
-    limit_suspicion(&mut alternatives, question.view.config.policy.suspected_fraction);
-    let chosen = compare(question, fleet, &mut alternatives, rng);
+    limit_suspicion(&mut alternatives, context.view.config.policy.suspected_fraction);
+    let chosen = compare(context, fleet, &mut alternatives, rng);
     Decision {
-        stage: question.stage.stage.name.clone(),
+        stage: context.stage.stage.name.clone(),
         pool: pool.clone(),
-        rule: rule.map(|i| question.view.config.rules[i].name.clone()),
+        rule: rule.map(|i| context.view.config.rules[i].name.clone()),
         alternatives,
         chosen,
-        at: question.now,
+        at: context.now,
     }
 }
 
@@ -86,21 +86,21 @@
 }
 
 fn compare(
-    question: &Question<'_>,
+    context: &RoutingContext<'_>,
     fleet: &Fleet,
     alternatives: &mut [Alternative],
     rng: &mut impl Rng,
 ) -> Option<usize> {
-    let policy = &question.view.config.policy;
+    let policy = &context.view.config.policy;
     let mut usable: Vec<usize> = (0..alternatives.len())
         .filter(|&i| alternatives[i].verdict == Verdict::NotCompared)
         .collect();
-    let sample = sample(policy, &mut usable, question.turn, rng);
+    let sample = sample(policy, &mut usable, context.turn, rng);
     let mut best: Option<(f64, usize)> = None;
     for &i in sample {
         let endpoint = &alternatives[i].endpoint;
-        let finish = predict(question, endpoint, fleet);
-        let score = score(finish, endpoint, question, fleet) * rng.random_range(1.0..1.02);
+        let finish = predict(context, endpoint, fleet);
+        let score = score(finish, endpoint, context, fleet) * rng.random_range(1.0..1.02);
         alternatives[i].verdict = Verdict::Slower { predicted: finish };
         if best.is_none_or(|(b, _)| score < b) {
             best = Some((score, i));
@@ -136,40 +136,45 @@
 
 /// Score of an endpoint, lower is better: milliseconds until completion plus the weighted cost of
 /// the work. The baseline algorithms use the gateway's own attempts in flight instead.
-fn score(finish: Duration, endpoint: &Endpoint, question: &Question<'_>, fleet: &Fleet) -> f64 {
-    let policy = &question.view.config.policy;
+fn score(
+    finish: Duration,
+    endpoint: &Endpoint,
+    context: &RoutingContext<'_>,
+    fleet: &Fleet,
+) -> f64 {
+    let policy = &context.view.config.policy;
     if policy.routing != Routing::Predicted {
         return f64::from(fleet.get(&endpoint.name).map_or(0, |s| s.in_flight)) + 1.0;
     }
-    let expected = question.stage.stage.expected_ms as f64 / 1_000.0;
+    let expected = context.stage.stage.expected_ms as f64 / 1_000.0;
     finish.as_secs_f64() * 1_000.0 + policy.cost_weight_ms * endpoint.cost * expected
 }
 
 /// Expected service time of a stage at an endpoint, without waiting and network time.
 pub fn service_time(
-    question: &Question<'_>,
+    context: &RoutingContext<'_>,
     state: Option<&EndpointState>,
     fleet: &Fleet,
 ) -> Duration {
-    let (key, size) = (question.stage.key, question.size);
+    let (key, size) = (context.stage.key, context.size);
     if let Some(estimate) = state.and_then(|s| s.estimate(key, size)) {
         return estimate.typical();
     }
     if let Some(estimate) = fleet.stage_estimate(key, size) {
         return estimate.typical();
     }
-    Duration::from_millis(question.stage.stage.expected_ms)
+    Duration::from_millis(context.stage.stage.expected_ms)
 }
 
 /// Predicted time until the result: network delay, waiting and service time.
-pub fn predict(question: &Question<'_>, endpoint: &Endpoint, fleet: &Fleet) -> Duration {
+pub fn predict(context: &RoutingContext<'_>, endpoint: &Endpoint, fleet: &Fleet) -> Duration {
     let state = fleet.get(&endpoint.name);
-    let service = service_time(question, state, fleet);
-    let remote = endpoint.data_centre != question.view.place.data_centre;
-    let distance = if remote { 2.0 * question.view.config.policy.remote_ms / 1_000.0 } else { 0.0 };
+    let service = service_time(context, state, fleet);
+    let remote = endpoint.data_centre != context.view.location.data_centre;
+    let distance = if remote { 2.0 * context.view.config.policy.remote_ms / 1_000.0 } else { 0.0 };
     let waiting = state.map_or(0.0, |s| {
         let limit = f64::from(s.limit(endpoint.concurrency));
-        let before = s.backlog(question.now, service) + 1.0 - limit;
+        let before = s.backlog(context.now, service) + 1.0 - limit;
         before.max(0.0) / limit * service.as_secs_f64()
     });
     service + Duration::from_secs_f64(distance + waiting)
@@ -179,20 +184,20 @@
 /// admitted requests, assuming that each of the `gateways` gateways has the same demand. `None` if
 /// the pool has no endpoint that accepts work.
 pub fn predict_pool(
-    question: &Question<'_>,
+    context: &RoutingContext<'_>,
     fleet: &Fleet,
     demand: &Demand,
     gateways: usize,
 ) -> Option<Duration> {
-    let (pool, _) = question.stage.pool_under(question.rules);
+    let (pool, _) = context.stage.pool_for_rules(context.rules);
     let mut best: Option<Duration> = None;
     let mut slots = 0;
     for endpoint in &pool.members {
-        let verdict = excluded(question, endpoint, fleet);
+        let verdict = excluded(context, endpoint, fleet);
         if verdict.is_some_and(|v| v == Verdict::Leaving) {
             continue;
         }
-        let predicted = predict(question, endpoint, fleet);
+        let predicted = predict(context, endpoint, fleet);
         best = Some(best.map_or(predicted, |b| b.min(predicted)));
         if verdict.is_none() {
             slots += fleet
@@ -201,7 +206,7 @@
         }
     }
     let best = best?;
-    let service = service_time(question, None, fleet).as_secs_f64();
+    let service = service_time(context, None, fleet).as_secs_f64();
     let of_fleet = (pool.matching - pool.leaving) as f64 / pool.members.len() as f64;
     let slots = f64::from(slots.max(1)) * of_fleet;
     let before = f64::from(demand.of(pool.key)) * gateways as f64;
--- a/src/policy/timeline.rs
+++ b/src/policy/timeline.rs
@@ -51,7 +51,7 @@
 
     /// The earliest time, not before `from`, at which `amount` fits within `bound` for `length` in
     /// addition to the expected use; `None` if there is none within the timeline.
-    pub fn earliest(
+    pub fn earliest_fit(
         &self,
         from: Duration,
         length: Duration,
--- a/src/result.rs
+++ b/src/result.rs
@@ -76,7 +76,7 @@
     }
 
     /// A copy of the received bytes from `offset` on.
-    pub fn from(&self, offset: u64) -> Bytes {
+    pub fn copy_from(&self, offset: u64) -> Bytes {
         let from = (offset as usize).min(self.bytes.len());
         Bytes::copy_from_slice(&self.bytes[from..])
     }
--- a/src/tool.rs
+++ b/src/tool.rs
@@ -28,15 +28,15 @@
 use crate::config::parts::{PartsError, split};
 use crate::fleet::Fleet;
 use crate::options::exit;
-use crate::policy::admit::{Admitted, Candidate, admit};
+use crate::policy::admit::{AdmissionRequest, Admitted, admit};
 use crate::policy::demand::Demand;
 use crate::policy::explain::{Decision, Explanation, Record, Step};
 use crate::policy::limit::Limiter;
 use crate::policy::predict::SizeClass;
-use crate::policy::route::{Question, choose};
+use crate::policy::route::{RoutingContext, choose};
 use crate::story::story;
 use crate::tables::{endpoints_table, explanation_text, requests_table, status_table};
-use crate::view::{Place, View};
+use crate::view::{Location, View};
 
 /// Timeout for the response of a process.
 const TIMEOUT: Duration = Duration::from_secs(5);
@@ -336,14 +336,14 @@
 ) -> Result<String, ToolError> {
     let config = Arc::new(read_checked(file)?);
     let data_centre = config.endpoints.first().map(|e| e.data_centre.clone()).unwrap_or_default();
-    let place = Place { host: "stackmast-try".to_owned(), data_centre };
-    let view = View::new(config, String::new(), place);
+    let location = Location { host: "stackmast-try".to_owned(), data_centre };
+    let view = View::new(config, String::new(), location);
     let labels = read_labels(labels)?;
     let not_in_config = |name: &str| ToolError::NotInConfig { name: name.to_owned() };
     let pipeline = view.pipeline(pipeline).ok_or_else(|| not_in_config(pipeline))?;
     let organisation =
         view.organisation(organisation).ok_or_else(|| not_in_config(organisation))?;
-    let candidate = Candidate {
+    let admission = AdmissionRequest {
         view: &view,
         pipeline,
         organisation,
@@ -352,7 +352,7 @@
         left: Duration::from_millis(pipeline.pipeline.deadline_ms),
         gateways: 1,
     };
-    let steps = decide(&candidate);
+    let steps = decide(&admission);
     let record = Record {
         id: crate::message::RequestId {
             gateway: "try".into(),
@@ -371,35 +371,35 @@
     Ok(explanation_text(&explanation))
 }
 
-fn decide(candidate: &Candidate<'_>) -> Vec<Step> {
+fn decide(admission: &AdmissionRequest<'_>) -> Vec<Step> {
     let mut rng = rand::rngs::StdRng::seed_from_u64(0);
     let fleet = Fleet::default();
     let now = Duration::ZERO;
     let mut limiter = Limiter::default();
-    let admitted = admit(candidate, &fleet, &Demand::default(), &mut limiter, now, &mut rng);
+    let admitted = admit(admission, &fleet, &Demand::default(), &mut limiter, now, &mut rng);
     let admitted: Admitted = match admitted {
         Ok(admitted) => admitted,
         Err(refusal) => return vec![Step::Refused(refusal)],
     };
-    let decisions = candidate.pipeline.stages.iter().map(|stage| -> Decision {
-        let question = Question {
-            view: candidate.view,
+    let decisions = admission.pipeline.stages.iter().map(|stage| -> Decision {
+        let context = RoutingContext {
+            view: admission.view,
             stage,
             rules: &admitted.rules,
-            size: candidate.size,
+            size: admission.size,
             tried: &[],
             turn: 0,
             now,
         };
-        choose(&question, &fleet, &mut rng)
+        choose(&context, &fleet, &mut rng)
     });
     let decisions: Vec<_> = decisions.map(Step::Sent).collect();
     let step = Step::Admitted {
-        config: candidate.view.config.version,
+        config: admission.view.config.version,
         priority: admitted.priority,
         priority_rule: admitted.priority_rule,
         predicted: admitted.predicted,
-        left: candidate.left,
+        left: admission.left,
     };
     [step].into_iter().chain(decisions).collect()
 }
--- a/src/view.rs
+++ b/src/view.rs
@@ -16,7 +16,7 @@
 
 /// Location of the process that compiles a view; subsets and distances depend on it.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct Location {
     /// Host name of the process.
     pub host: String,
     /// Data centre of the process.
@@ -68,7 +68,7 @@
     /// Digest of the configuration's manifest.
     pub digest: String,
     /// Location of the process that compiled the view.
-    pub place: Place,
+    pub location: Location,
     pipelines: HashMap<Name, Arc<PipelineView>>,
     /// Indexes into the configuration's organisations, sorted by name.
     organisations: Vec<u32>,
@@ -76,8 +76,8 @@
 
 impl View {
     /// Compiles a checked configuration.
-    pub fn new(config: Arc<Config>, digest: String, place: Place) -> Self {
-        let mut pools = Pools { config: &config, place: &place, compiled: HashMap::new() };
+    pub fn new(config: Arc<Config>, digest: String, location: Location) -> Self {
+        let mut pools = Pools { config: &config, location: &location, compiled: HashMap::new() };
         let pipelines = config
             .pipelines
             .iter()
@@ -86,7 +86,7 @@
         let mut organisations: Vec<u32> = (0..config.organisations.len() as u32).collect();
         let name = |i: &u32| config.organisations[*i as usize].name.as_str();
         organisations.sort_unstable_by(|a, b| name(a).cmp(name(b)));
-        Self { config, digest, place, pipelines, organisations }
+        Self { config, digest, location, pipelines, organisations }
     }
 
     /// Looks up a pipeline by name.
@@ -126,7 +126,7 @@
 impl StageView {
     /// The pool of the first matching `require` rule for this stage and the rule's index, or the
     /// stage's default pool.
-    pub fn pool_under(&self, matching: &[usize]) -> (&Arc<Pool>, Option<usize>) {
+    pub fn pool_for_rules(&self, matching: &[usize]) -> (&Arc<Pool>, Option<usize>) {
         let required = self.required.iter().find(|(rule, _)| matching.contains(rule));
         match required {
             Some((rule, pool)) => (pool, Some(*rule)),
@@ -157,7 +157,7 @@
 /// Cache of the compiled pools; stages with equal selectors share one.
 struct Pools<'a> {
     config: &'a Config,
-    place: &'a Place,
+    location: &'a Location,
     compiled: HashMap<String, Arc<Pool>>,
 }
 
@@ -180,7 +180,7 @@
             selector: selector.clone(),
             matching: matching.len(),
             leaving: matching.len() - serving.len(),
-            members: subset(serving, self.config.policy.subset, self.place),
+            members: subset(serving, self.config.policy.subset, self.location),
         });
         self.compiled.insert(selector, pool.clone());
         pool
@@ -189,16 +189,16 @@
 
 /// Selects `size` endpoints by rendezvous hashing, so that a host keeps its members when other
 /// endpoints are added or removed. Local endpoints are selected first, up to [`LOCAL_SHARE`].
-fn subset(endpoints: Vec<&Arc<Endpoint>>, size: usize, place: &Place) -> Vec<Arc<Endpoint>> {
+fn subset(endpoints: Vec<&Arc<Endpoint>>, size: usize, location: &Location) -> Vec<Arc<Endpoint>> {
     if endpoints.len() <= size {
         return endpoints.into_iter().cloned().collect();
     }
-    let seed = xxh3_64(place.host.as_bytes());
+    let seed = xxh3_64(location.host.as_bytes());
     let mut ranked: Vec<_> =
         endpoints.into_iter().map(|e| (xxh3_64_with_seed(e.name.as_bytes(), seed), e)).collect();
     ranked.sort_unstable_by_key(|(rank, _)| *rank);
     let local_size = (size as f64 * LOCAL_SHARE) as usize;
-    let local = |e: &Endpoint| e.data_centre == place.data_centre;
+    let local = |e: &Endpoint| e.data_centre == location.data_centre;
     let mut members: Vec<_> =
         ranked.iter().filter(|(_, e)| local(e)).take(local_size).map(|(_, e)| *e).collect();
     for (_, endpoint) in &ranked {
--- a/tests/directenv/recount.rs
+++ b/tests/directenv/recount.rs
@@ -14,7 +14,7 @@
 use stackmast::direct::peers::message::{Job, JobId};
 use stackmast::direct::published::model::{BatchSpec, Name};
 use stackmast::direct::published::table::Table;
-use stackmast::policy::path::{HOLD_SLACK, StageLoad, admit_path};
+use stackmast::policy::path::{DEFERRAL_MARGIN, StageLoad, admit_path};
 use stackmast::policy::timeline::Timeline;
 
 /// Share of the time that all started work needs in full calls that is planned ahead of a new job.
@@ -208,7 +208,7 @@
 
 fn is_held_back(run: &JobRun, stage: usize, now: Duration) -> bool {
     run.is_independent(stage)
-        && run.remaining_time(Some(stage), now) > run.calls[stage] + HOLD_SLACK
+        && run.remaining_time(Some(stage), now) > run.calls[stage] + DEFERRAL_MARGIN
 }
 
 /// Computes the first call: the endpoint for the most urgent piece that fits anywhere, and the
@@ -270,7 +270,7 @@
     let endpoints = kept.usable.values().sum::<usize>() as f64;
     let call = spec.call_overhead + spec.piece_time * stage.pieces.min(spec.pieces) as u32;
     let mut pieces = 0.0;
-    let mut taken = Timeline::default();
+    let mut memory_in_use = Timeline::default();
     for (_, run) in owner.active_jobs() {
         let fillings = owner.planned_occupancy(run, table, now);
         for ((spec, state), filling) in run.job.stages.iter().zip(&run.stages).zip(fillings) {
@@ -280,7 +280,7 @@
             let waiting = state.waiting() as f64;
             pieces += (state.unfinished() as f64 - waiting).mul_add(RUNNING_REST, waiting);
             if let Some(filling) = filling {
-                taken.add(filling.from, filling.until, filling.bytes as f64);
+                memory_in_use.add(filling.from, filling.until, filling.bytes as f64);
             }
         }
     }
@@ -291,8 +291,8 @@
         slots: endpoints,
         backlog: full_call.mul_f64(BEFORE_NEWCOMER).mul_f64(pieces),
         call,
-        room: endpoints * spec.result_memory_bytes as f64 - kept.used_by_others as f64,
-        taken: Arc::new(taken),
-        wanted: (stage.pieces as u64 * stage.result_bytes) as f64,
+        result_memory: endpoints * spec.result_memory_bytes as f64 - kept.used_by_others as f64,
+        memory_in_use: Arc::new(memory_in_use),
+        required_memory: (stage.pieces as u64 * stage.result_bytes) as f64,
     }
 }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -22,9 +22,9 @@
         slots: 2.0,
         backlog: Duration::ZERO,
         call: ms(300),
-        room: 100.0,
-        taken: Arc::default(),
-        wanted: 10.0,
+        result_memory: 100.0,
+        memory_in_use: Arc::default(),
+        required_memory: 10.0,
     }
 }
 
@@ -51,8 +51,8 @@
 }
 
 #[test_case(0, 400, None; "freed before the second stage begins")]
-#[test_case(0, 900, Some(PathRefusal::NoRoom); "still taken when it begins")]
-#[test_case(350, 900, Some(PathRefusal::NoRoom); "taken meanwhile")]
+#[test_case(0, 900, Some(PathRefusal::InsufficientMemory); "still taken when it begins")]
+#[test_case(350, 900, Some(PathRefusal::InsufficientMemory); "taken meanwhile")]
 #[test_case(1_500, 2_500, None; "taken after it has ended")]
 fn memory_counts_at_the_time_when_a_stage_needs_it(
     from: u64,
@@ -60,7 +60,7 @@
     refusal: Option<PathRefusal>,
 ) {
     let mut second = stage(&[0]);
-    second.taken = taken(from, until, 65.0);
+    second.memory_in_use = taken(from, until, 65.0);
     let decision = admit_path(&[stage(&[]), second], AFTER, OBJECTIVE, 0);
     assert_eq!(decision.refusal, refusal);
     assert!(decision.retry_after >= ms(100));
@@ -69,27 +69,31 @@
 #[test]
 fn a_request_above_the_planned_share_fits_an_empty_pool() {
     let mut large = stage(&[]);
-    large.wanted = 95.0;
+    large.required_memory = 95.0;
     assert_eq!(admit_path(&[large], AFTER, OBJECTIVE, 2).refusal, None);
 }
 
 #[test]
 fn an_independent_stage_needs_its_memory_only_when_the_others_end() {
     let mut alone = stage(&[]);
-    alone.taken = taken(0, 180, 95.0);
+    alone.memory_in_use = taken(0, 180, 95.0);
     let decision = admit_path(&[stage(&[]), stage(&[0]), alone.clone()], AFTER, OBJECTIVE, 0);
     assert_eq!((decision.refusal, decision.predicted), (None, ms(700)));
     let decision = admit_path(&[alone], AFTER, OBJECTIVE, 0);
-    assert_eq!(decision.refusal, Some(PathRefusal::NoRoom), "with nothing to wait for, it begins");
+    assert_eq!(
+        decision.refusal,
+        Some(PathRefusal::InsufficientMemory),
+        "with nothing to wait for, it begins"
+    );
 }
 
 #[test_case(700, 700; "when there will be")]
 #[test_case(120, 150; "not sooner than callers can usefully return")]
 fn a_refusal_for_memory_has_the_time_at_which_some_is_free(until: u64, retry_after: u64) {
     let mut full = stage(&[]);
-    full.taken = taken(0, until, 95.0);
+    full.memory_in_use = taken(0, until, 95.0);
     let decision = admit_path(&[full], AFTER, OBJECTIVE, 0);
-    assert_eq!(decision.refusal, Some(PathRefusal::NoRoom));
+    assert_eq!(decision.refusal, Some(PathRefusal::InsufficientMemory));
     assert!(decision.retry_after >= ms(retry_after), "{:?}", decision.retry_after);
     assert!(decision.retry_after <= ms(retry_after + 50), "{:?}", decision.retry_after);
 }
@@ -97,15 +101,15 @@
 #[test]
 fn a_refusal_for_memory_names_the_stage() {
     let mut full = stage(&[0]);
-    full.taken = taken(0, 5_000, 95.0);
+    full.memory_in_use = taken(0, 5_000, 95.0);
     let decision = admit_path(&[stage(&[]), full, stage(&[1])], AFTER, OBJECTIVE, 0);
-    assert_eq!((decision.refusal, decision.narrowest), (Some(PathRefusal::NoRoom), 1));
+    assert_eq!((decision.refusal, decision.bottleneck), (Some(PathRefusal::InsufficientMemory), 1));
 }
 
 #[test]
 fn less_urgent_requests_leave_memory_and_time_to_more_urgent_ones() {
     let mut filled = stage(&[]);
-    filled.taken = taken(0, 2_000, 50.0);
+    filled.memory_in_use = taken(0, 2_000, 50.0);
     let mut busy = stage(&[]);
     busy.backlog = ms(2_900);
     for load in [filled, busy] {
@@ -129,9 +133,9 @@
     let mut timeline = Timeline::default();
     timeline.add(ms(0), ms(200), 8.0);
     timeline.add(ms(300), ms(1_000), 8.0);
-    assert_eq!(timeline.earliest(ms(0), ms(100), 5.0, 10.0), Some(ms(200)));
-    assert_eq!(timeline.earliest(ms(0), ms(200), 5.0, 10.0), Some(ms(1_000)));
-    assert_eq!(timeline.earliest(ms(0), ms(200), 2.0, 10.0), Some(ms(0)));
-    assert_eq!(timeline.earliest(ms(0), ms(200), 11.0, 10.0), None);
+    assert_eq!(timeline.earliest_fit(ms(0), ms(100), 5.0, 10.0), Some(ms(200)));
+    assert_eq!(timeline.earliest_fit(ms(0), ms(200), 5.0, 10.0), Some(ms(1_000)));
+    assert_eq!(timeline.earliest_fit(ms(0), ms(200), 2.0, 10.0), Some(ms(0)));
+    assert_eq!(timeline.earliest_fit(ms(0), ms(200), 11.0, 10.0), None);
     assert!((timeline.peak(ms(200), ms(100)) - 0.0).abs() < f64::EPSILON);
 }
--- a/tests/schedules/mod.rs
+++ b/tests/schedules/mod.rs
@@ -21,7 +21,7 @@
 use stackmast::gateway::event::Answer;
 use stackmast::gateway::request::Submission;
 use stackmast::message::{AttemptId, Incarnation, Ran, Run, Timestamp};
-use stackmast::view::{Place, View};
+use stackmast::view::{Location, View};
 use stackmast_testbed::deployment::{labels, selector};
 use stackmast_testbed::history::{self, Breach, SaidRan, Seen};
 use stackmast_testbed::runs;
@@ -181,8 +181,8 @@
 
 impl World {
     pub fn new(seed: u64, odds: Odds) -> Self {
-        let place = Place { host: "gateway".to_owned(), data_centre: "dc".to_owned() };
-        let view = Arc::new(View::new(Arc::new(config()), "digest".to_owned(), place));
+        let location = Location { host: "gateway".to_owned(), data_centre: "dc".to_owned() };
+        let view = Arc::new(View::new(Arc::new(config()), "digest".to_owned(), location));
         let mut world = Self {
             rng: StdRng::seed_from_u64(seed),
             odds,
