--- a/src/actor.rs
+++ b/src/actor.rs
@@ -152,11 +152,11 @@
 
 /// Creates a handle and the mailbox that it sends to, with the host's clock.
 pub fn mailbox<C: Core>() -> (Handle<C>, Mailbox<C>) {
-    mailbox_with(Clock::of_host())
+    mailbox_with_clock(Clock::of_host())
 }
 
 /// Creates a handle and the mailbox that it sends to, with the given clock.
-pub fn mailbox_with<C: Core>(clock: Clock) -> (Handle<C>, Mailbox<C>) {
+pub fn mailbox_with_clock<C: Core>(clock: Clock) -> (Handle<C>, Mailbox<C>) {
     let (urgent, urgent_receiver) = mpsc::channel(MAILBOX_CAPACITY);
     let (mailbox, receiver) = mpsc::channel(MAILBOX_CAPACITY);
     let (sender, resumed_at) = watch::channel(Timestamp::ZERO);
--- a/src/admin.rs
+++ b/src/admin.rs
@@ -24,7 +24,7 @@
 use crate::http::{self, BadInput, ListenError, ListenSnafu, Listener};
 use crate::message::{Incarnation, Load, RequestId, Timestamp};
 use crate::metrics as m;
-use crate::peer::{explain_elsewhere, explain_here};
+use crate::peer::{explain_local, explain_remote};
 use crate::settings::Settings;
 use crate::spread::Spread;
 
@@ -304,13 +304,12 @@
     let what = format!("request {id}");
     let explained = match &state.role {
         RoleHandle::Gateway(core) if *id.gateway == *state.settings.host => {
-            explain_here(core, id).await
+            explain_local(core, id).await
         }
         RoleHandle::Gateway(_) | RoleHandle::Agent(_) => {
             let (spread, channels) = (state.spread.clone(), state.channels.clone());
-            let asked = state
-                .runtime
-                .spawn(async move { explain_elsewhere(&spread, &channels, &id).await });
+            let asked =
+                state.runtime.spawn(async move { explain_remote(&spread, &channels, &id).await });
             asked.await.ok().flatten()
         }
     };
--- a/src/direct/peers/bulk.rs
+++ b/src/direct/peers/bulk.rs
@@ -75,7 +75,7 @@
                 Ok(false) => "broken",
                 Err(_) => "too long",
             };
-            metrics::counter!(crate::metrics::BULK, "outcome" => outcome).increment(1);
+            metrics::counter!(crate::metrics::CONFIGS_SENT, "outcome" => outcome).increment(1);
             drop(permit);
         });
         true
@@ -153,7 +153,7 @@
                 core.send(Event::PeerMessage { from, message }).await.ok();
                 return;
             }
-            Err(_) => metrics::counter!(crate::metrics::PEER_BAD).increment(1),
+            Err(_) => metrics::counter!(crate::metrics::PEER_UNREADABLE).increment(1),
         }
         break;
     }
--- a/src/direct/peers/links.rs
+++ b/src/direct/peers/links.rs
@@ -306,7 +306,7 @@
         match read(&frame, hello.form) {
             Ok(message) => core.send(Event::PeerMessage { from, message }).await?,
             Err(unread) => {
-                metrics::counter!(crate::metrics::PEER_BAD).increment(1);
+                metrics::counter!(crate::metrics::PEER_UNREADABLE).increment(1);
                 core.send(Event::PeerMessageUnreadable {
                     from,
                     announced_form: hello.form,
--- a/src/direct/poison_detection.rs
+++ b/src/direct/poison_detection.rs
@@ -145,7 +145,7 @@
             let source = source.to_owned();
             self.log(LogEvent::Quarantined { fingerprint, endpoints, source });
         }
-        crate::metrics::poison(self.suspects.quarantined_count());
+        crate::metrics::poison_requests(self.suspects.quarantined_count());
         self.requests.set_suspects(self.suspects.clone());
         self.requests.quarantined(&quarantined, now);
         self.owners.set_suspects(&self.suspects, &quarantined, &self.table);
--- a/src/direct/shell.rs
+++ b/src/direct/shell.rs
@@ -28,7 +28,7 @@
 use crate::direct::published::model::{CallerLimits, Endpoint};
 use crate::direct::statement::{CallKind, Statement};
 use crate::direct::stream::EventSplitter;
-use crate::logging::Lines;
+use crate::logging::LogWriter;
 use crate::message::Timestamp;
 
 /// Maximum number of stream events buffered for a slow caller.
@@ -237,7 +237,7 @@
     peers: PeerLinks,
     callers: Callers,
     state: watch::Sender<State>,
-    lines: Lines,
+    lines: LogWriter,
     gates: Gates,
     late_logged_at: Option<Instant>,
 }
@@ -248,7 +248,7 @@
         core: Handle<GatewayCore>,
         client: Arc<C>,
         peers: PeerLinks,
-        lines: Lines,
+        lines: LogWriter,
     ) -> (Self, Gateway) {
         let (state, receiver) = watch::channel(State::default());
         let callers = Callers::default();
--- a/src/gateway/recovery.rs
+++ b/src/gateway/recovery.rs
@@ -118,7 +118,7 @@
         if std::mem::take(&mut request.streamed) {
             self.actions.push(Action::Reset { caller });
         }
-        m::wasted(&self.requests[&caller].stage_view().stage.name);
+        m::stage_wasted(&self.requests[&caller].stage_view().stage.name);
         self.retry(caller, reason, RETRY_AFTER, now);
     }
 
--- a/src/gateway/replies.rs
+++ b/src/gateway/replies.rs
@@ -23,11 +23,11 @@
         now: Timestamp,
     ) {
         let Some((caller, attempt)) = self.open_attempt(id) else {
-            m::stray();
+            m::stray_reply();
             return;
         };
         if attempt.call != call {
-            m::stray();
+            m::stray_reply();
             return;
         }
         attempt.resumes = 0;
@@ -74,7 +74,7 @@
         attempt.progress = Progress::Begun;
         let waited = now.saturating_sub(attempt.sent_at);
         request.record.steps.push((now, Step::Begun { waited }));
-        m::waited(waited);
+        m::stage_wait(waited);
         let id = attempt.id;
         let due = now + self.stall_limit(caller, now);
         self.timers.insert((due, caller, Timer::Stall(id)));
@@ -121,7 +121,7 @@
             return self.recover_call(caller, now);
         }
         if attempt.output.len() != length || attempt.output.digest() != digest {
-            m::mismatch();
+            m::result_mismatch();
             return self.on_outcome_unknown(caller, AgentReason::EndpointMisbehaved, now);
         }
         self.adopt(caller, digest, service, now);
--- a/src/http.rs
+++ b/src/http.rs
@@ -33,7 +33,7 @@
     },
     /// The connection failed while the body was being received.
     #[snafu(display("the connection failed before the body was complete"))]
-    Cut,
+    Incomplete,
     /// The body doesn't match the documented JSON schema.
     #[snafu(display("the body is invalid: {message}"))]
     Syntax {
@@ -65,7 +65,9 @@
         match self {
             Self::TooLarge { .. } => StatusCode::PAYLOAD_TOO_LARGE,
             Self::TooSlow { .. } => StatusCode::REQUEST_TIMEOUT,
-            Self::Cut | Self::Syntax { .. } | Self::OutOfRange { .. } => StatusCode::BAD_REQUEST,
+            Self::Incomplete | Self::Syntax { .. } | Self::OutOfRange { .. } => {
+                StatusCode::BAD_REQUEST
+            }
             Self::Unauthorised => StatusCode::UNAUTHORIZED,
             Self::Unknown { .. } => StatusCode::NOT_FOUND,
         }
@@ -75,7 +77,7 @@
         match self {
             Self::TooLarge { .. } => "body_too_large",
             Self::TooSlow { .. } => "body_too_slow",
-            Self::Cut => "body_cut",
+            Self::Incomplete => "body_cut",
             Self::Syntax { .. } => "body_syntax",
             Self::OutOfRange { .. } => "out_of_range",
             Self::Unauthorised => "unauthorised",
@@ -157,7 +159,7 @@
     }
     let mut buffer = BytesMut::new();
     while let Some(data) = body.as_mut().data().await {
-        let data = data.map_err(|_| BadInput::Cut)?;
+        let data = data.map_err(|_| BadInput::Incomplete)?;
         if buffer.len() + data.len() > limit {
             return Err(BadInput::TooLarge { limit });
         }
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -33,12 +33,12 @@
 /// Writes serialized lines to standard output from a separate thread. Lines are dropped and counted
 /// in [`crate::metrics::LINES_DROPPED`] when the thread can't keep up.
 #[derive(Debug, Clone)]
-pub struct Lines {
+pub struct LogWriter {
     host: String,
     sender: SyncSender<Vec<u8>>,
 }
 
-impl Lines {
+impl LogWriter {
     /// Starts the writer thread.
     pub fn new(host: &str) -> Self {
         let (sender, receiver) = sync_channel(BUFFERED_LINES);
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -17,7 +17,7 @@
 /// Time from a request's arrival to its complete response, in seconds.
 pub const LATENCY: &str = "stackmast_request_seconds";
 /// Time from sending an attempt to its dispatch to the endpoint, in seconds.
-pub const WAITED: &str = "stackmast_stage_wait_seconds";
+pub const STAGE_WAIT: &str = "stackmast_stage_wait_seconds";
 /// Endpoint time in seconds spent on adopted results, by stage.
 pub const STAGE_SECONDS: &str = "stackmast_stage_service_seconds_total";
 /// Cost of adopted results by stage: seconds times the endpoint's relative cost.
@@ -29,9 +29,9 @@
 /// Retries currently available in the retry budget.
 pub const RETRY_BUDGET: &str = "stackmast_retry_budget";
 /// Replies that match no open call.
-pub const STRAYS: &str = "stackmast_stray_replies_total";
+pub const STRAY_REPLIES: &str = "stackmast_stray_replies_total";
 /// Results with a wrong length or digest.
-pub const MISMATCHES: &str = "stackmast_result_mismatches_total";
+pub const RESULT_MISMATCHES: &str = "stackmast_result_mismatches_total";
 /// Invariant violations; always 0.
 pub const INVARIANT_VIOLATIONS: &str = "stackmast_invariant_violations_total";
 /// Requests in flight in a gateway, or attempts in flight in an agent.
@@ -52,7 +52,7 @@
 /// Messages to other gateways dropped because the queue was full.
 pub const PEER_DROPPED: &str = "stackmast_peer_messages_dropped_total";
 /// Messages from other gateways that could not be decoded.
-pub const PEER_BAD: &str = "stackmast_peer_messages_bad_total";
+pub const PEER_UNREADABLE: &str = "stackmast_peer_messages_bad_total";
 /// Other gateways that run another build.
 pub const OTHER_BUILDS: &str = "stackmast_peers_of_other_builds";
 /// Always 1; labelled with the version and commit of the build and its message form.
@@ -60,7 +60,7 @@
 /// Bytes of messages between gateways, by direction and kind.
 pub const PEER_BYTES: &str = "stackmast_peer_bytes_total";
 /// Platform documents that could not be read, counted on each read.
-pub const UNREADABLE: &str = "stackmast_unreadable_documents_total";
+pub const UNREADABLE_DOCUMENTS: &str = "stackmast_unreadable_documents_total";
 /// Platform headers that are ignored in responses, by source.
 pub const UNKNOWN_HEADERS: &str = "stackmast_unknown_headers_total";
 /// Newest known era of the publisher's store.
@@ -68,11 +68,11 @@
 /// Version of the configuration last read from the publisher's store.
 pub const PUBLISHED_VERSION: &str = "stackmast_published_version";
 /// Data centres that are being evacuated.
-pub const EVACUATED: &str = "stackmast_evacuated_data_centres";
+pub const EVACUATED_DATA_CENTRES: &str = "stackmast_evacuated_data_centres";
 /// Request contents refused because they crashed endpoints.
-pub const POISON: &str = "stackmast_poison_requests";
+pub const POISON_REQUESTS: &str = "stackmast_poison_requests";
 /// Ordered messages to endpoints that were withheld because the endpoint had since asked for none.
-pub const WITHHELD: &str = "stackmast_messages_withheld_total";
+pub const MESSAGES_WITHHELD: &str = "stackmast_messages_withheld_total";
 /// Decisions and changes of estimated state, by kind.
 pub const DECISIONS: &str = "stackmast_decisions_total";
 /// Duration of batch calls, in seconds.
@@ -83,27 +83,27 @@
 /// Requests accepted or refused after the order to stop, by place of the decision.
 pub const STOP_DECIDED: &str = "stackmast_stop_decided_total";
 /// Requests aborted by the end of the process, by kind.
-pub const CUT_BY_STOP: &str = "stackmast_cut_by_stop_total";
+pub const ABORTED_BY_STOP: &str = "stackmast_cut_by_stop_total";
 /// Configurations sent to peers, by outcome.
-pub const BULK: &str = "stackmast_bulk_sent_total";
+pub const CONFIGS_SENT: &str = "stackmast_bulk_sent_total";
 /// Time that events wait in the core's queue, in seconds.
 pub const CORE_WAIT: &str = "stackmast_core_wait_seconds";
 /// Time that the core takes to handle an event, in seconds.
-pub const CORE_TOOK: &str = "stackmast_core_event_seconds";
+pub const CORE_HANDLING: &str = "stackmast_core_event_seconds";
 
 /// Registers the help text of every metric.
 pub fn describe() {
     describe_counter!(COMPLETED, "Requests answered in full, by in_time");
     describe_counter!(REFUSED, "Requests refused, by reason and ran");
     describe_histogram!(LATENCY, "Seconds from arrival to the whole answer");
-    describe_histogram!(WAITED, "Seconds from sending an attempt to its hand-over");
+    describe_histogram!(STAGE_WAIT, "Seconds from sending an attempt to its hand-over");
     describe_counter!(STAGE_SECONDS, "Seconds of endpoint time of adopted results, by stage");
     describe_counter!(STAGE_COST, "Cost of adopted results, by stage");
     describe_counter!(STAGE_WASTED, "Attempts run again because of an unknown outcome, by stage");
     describe_counter!(RETRIES, "Second and further attempts");
     describe_gauge!(RETRY_BUDGET, "Retries that the budget holds");
-    describe_counter!(STRAYS, "Replies that matched no open call");
-    describe_counter!(MISMATCHES, "Results with a wrong length or digest");
+    describe_counter!(STRAY_REPLIES, "Replies that matched no open call");
+    describe_counter!(RESULT_MISMATCHES, "Results with a wrong length or digest");
     describe_counter!(INVARIANT_VIOLATIONS, "Invariants found broken");
     describe_gauge!(IN_FLIGHT, "Requests or attempts in flight");
     describe_gauge!(CONFIG_VERSION, "Version of the configuration in force");
@@ -113,15 +113,18 @@
     describe_counter!(CONTROL_BYTES, "Bytes of documents, by direction");
     describe_counter!(LINES_DROPPED, "Log lines dropped");
     describe_counter!(PEER_DROPPED, "Messages to gateways dropped");
-    describe_counter!(PEER_BAD, "Messages of gateways that could not be read");
+    describe_counter!(PEER_UNREADABLE, "Messages of gateways that could not be read");
     describe_counter!(PEER_BYTES, "Bytes of messages between gateways, by direction and kind");
-    describe_counter!(UNREADABLE, "Documents of the platform that could not be read");
+    describe_counter!(UNREADABLE_DOCUMENTS, "Documents of the platform that could not be read");
     describe_counter!(UNKNOWN_HEADERS, "Headers of the platform that are not read, by source");
     describe_gauge!(STORE_ERA, "Newest era of the publisher's store");
     describe_gauge!(PUBLISHED_VERSION, "Version of the configuration in the publisher's store");
-    describe_gauge!(EVACUATED, "Data centres that get no new work by order");
-    describe_gauge!(POISON, "Contents refused because endpoints crashed under them");
-    describe_counter!(WITHHELD, "Ordered messages to endpoints that were not sent, by asked");
+    describe_gauge!(EVACUATED_DATA_CENTRES, "Data centres that get no new work by order");
+    describe_gauge!(POISON_REQUESTS, "Contents refused because endpoints crashed under them");
+    describe_counter!(
+        MESSAGES_WITHHELD,
+        "Ordered messages to endpoints that were not sent, by asked"
+    );
     describe_counter!(DECISIONS, "Decisions and changes of belief, by kind");
     describe_histogram!(BATCH_SECONDS, "Seconds of calls with pieces");
     describe_histogram!(BATCH_PIECES, "Pieces in a call");
@@ -129,10 +132,10 @@
         STOP_DECIDED,
         "Requests taken or turned away while stopping, by at and taken"
     );
-    describe_counter!(CUT_BY_STOP, "Requests cut by the end of the process, by what");
-    describe_counter!(BULK, "Configurations sent to peers, by outcome");
+    describe_counter!(ABORTED_BY_STOP, "Requests cut by the end of the process, by what");
+    describe_counter!(CONFIGS_SENT, "Configurations sent to peers, by outcome");
     describe_histogram!(CORE_WAIT, "Seconds that events wait for the core");
-    describe_histogram!(CORE_TOOK, "Seconds that the core takes for an event");
+    describe_histogram!(CORE_HANDLING, "Seconds that the core takes for an event");
     describe_gauge!(OTHER_BUILDS, "Other gateways that run another build");
     describe_gauge!(BUILD_INFO, "1, by version, commit and form of messages");
     counter!(INVARIANT_VIOLATIONS).absolute(0);
@@ -159,8 +162,8 @@
 }
 
 /// Records the time from sending an attempt to its dispatch.
-pub fn waited(time: Duration) {
-    histogram!(WAITED).record(time.as_secs_f64());
+pub fn stage_wait(time: Duration) {
+    histogram!(STAGE_WAIT).record(time.as_secs_f64());
 }
 
 /// Records an adopted result of a stage. Counters are integers, so time and cost are in
@@ -173,7 +176,7 @@
 }
 
 /// Counts an attempt with an unknown outcome whose stage is run again.
-pub fn wasted(stage: &str) {
+pub fn stage_wasted(stage: &str) {
     counter!(STAGE_WASTED, "stage" => stage.to_owned()).increment(1);
 }
 
@@ -183,13 +186,13 @@
 }
 
 /// Counts a reply that matches no open call.
-pub fn stray() {
-    counter!(STRAYS).increment(1);
+pub fn stray_reply() {
+    counter!(STRAY_REPLIES).increment(1);
 }
 
 /// Counts a result with a wrong length or digest.
-pub fn mismatch() {
-    counter!(MISMATCHES).increment(1);
+pub fn result_mismatch() {
+    counter!(RESULT_MISMATCHES).increment(1);
 }
 
 /// Adds document bytes in a direction, `in` or `out`.
@@ -214,7 +217,7 @@
 
 /// Counts a message that was withheld because its endpoint asked for none.
 pub fn withheld(asked: CallKind) {
-    counter!(WITHHELD, "asked" => asked.as_str()).increment(1);
+    counter!(MESSAGES_WITHHELD, "asked" => asked.as_str()).increment(1);
 }
 
 /// Sets the number of other gateways that run another build.
@@ -223,14 +226,14 @@
 }
 
 /// Sets the number of request contents refused because they crashed endpoints.
-pub fn poison(contents: usize) {
-    gauge!(POISON).set(contents as f64);
+pub fn poison_requests(contents: usize) {
+    gauge!(POISON_REQUESTS).set(contents as f64);
 }
 
 /// Records the queueing delay and handling time of an event.
 pub fn core_handled(waited: Duration, took: Duration) {
     histogram!(CORE_WAIT).record(waited.as_secs_f64());
-    histogram!(CORE_TOOK).record(took.as_secs_f64());
+    histogram!(CORE_HANDLING).record(took.as_secs_f64());
 }
 
 /// Records a newer era of the publisher's store.
@@ -257,11 +260,11 @@
             counter!(STOP_DECIDED, "at" => *at, "taken" => taken).increment(1);
         }
         LogEvent::Stopped { unanswered, streams, .. } => {
-            counter!(CUT_BY_STOP, "what" => "unanswered").increment(*unanswered as u64);
-            counter!(CUT_BY_STOP, "what" => "stream").increment(*streams as u64);
+            counter!(ABORTED_BY_STOP, "what" => "unanswered").increment(*unanswered as u64);
+            counter!(ABORTED_BY_STOP, "what" => "stream").increment(*streams as u64);
         }
-        LogEvent::Evacuation { stands: true, .. } => gauge!(EVACUATED).increment(1.0),
-        LogEvent::Evacuation { stands: false, .. } => gauge!(EVACUATED).decrement(1.0),
+        LogEvent::Evacuation { stands: true, .. } => gauge!(EVACUATED_DATA_CENTRES).increment(1.0),
+        LogEvent::Evacuation { stands: false, .. } => gauge!(EVACUATED_DATA_CENTRES).decrement(1.0),
         LogEvent::Configured { version, .. } => gauge!(CONFIG_VERSION).set(*version as f64),
         _ => {}
     }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -99,7 +99,7 @@
         let id: Result<RequestId, _> = request.into_inner().request.parse();
         let id = id.map_err(|e| Status::invalid_argument(e.to_string()))?;
         let explained = match &self.gateway {
-            Some(gateway) => explain_here(gateway, id).await,
+            Some(gateway) => explain_local(gateway, id).await,
             None => None,
         };
         let explanation = explained.and_then(|e| serde_json::to_vec(&e).ok());
@@ -108,13 +108,13 @@
 }
 
 /// Explains a request of this gateway.
-pub async fn explain_here(gateway: &Handle<GatewayCore>, id: RequestId) -> Option<Explanation> {
+pub async fn explain_local(gateway: &Handle<GatewayCore>, id: RequestId) -> Option<Explanation> {
     let record = gateway.inspect(move |core, _| core.record(&id)).await.ok()??;
     Some(Explanation::from(&*record))
 }
 
 /// Requests an explanation from the gateway that scheduled the request.
-pub async fn explain_elsewhere(
+pub async fn explain_remote(
     spread: &Spread,
     channels: &Channels,
     id: &RequestId,
--- a/tests/direct_gates.rs
+++ b/tests/direct_gates.rs
@@ -22,7 +22,7 @@
 use stackmast::direct::published::model::{Endpoint, Repeat};
 use stackmast::direct::shell::{GatewayShell, Reply};
 use stackmast::direct::statement::{Backoff, CallKind, Statement};
-use stackmast::logging::Lines;
+use stackmast::logging::LogWriter;
 use test_case::test_case;
 use tokio::sync::Semaphore;
 
@@ -128,7 +128,7 @@
     let client = Said { statement, held: held.clone(), calls, went_out: went_out.clone() };
     let (core, waiting) = mailbox();
     let peers = PeerLinks::new(address(9), 1, core.clone());
-    let lines = Lines::new("test");
+    let lines = LogWriter::new("test");
     let (shell, gateway) = GatewayShell::new(core.clone(), Arc::new(client), peers, lines);
     tokio::spawn(run(new_core(), shell, waiting));
     let routes = vec![route("r", Repeat::Idempotent, &[])];
--- a/tests/direct_standstill.rs
+++ b/tests/direct_standstill.rs
@@ -69,7 +69,7 @@
 #[tokio::test]
 async fn a_core_is_notified_of_a_suspension_and_its_duration() {
     let (clock, suspended) = clock();
-    let (handle, mailbox) = actor::mailbox_with::<Told>(clock);
+    let (handle, mailbox) = actor::mailbox_with_clock::<Told>(clock);
     let (sender, told) = std::sync::mpsc::channel();
     let core = tokio::spawn(actor::run(Told(sender), Idle, mailbox));
     handle.send(()).await.expect("it runs");
@@ -90,7 +90,7 @@
 #[tokio::test]
 async fn sleeps_that_end_during_a_suspension_end_on_resume() {
     let (clock, suspended) = clock();
-    let (handle, mailbox) = actor::mailbox_with::<Told>(clock);
+    let (handle, mailbox) = actor::mailbox_with_clock::<Told>(clock);
     let (sender, _told) = std::sync::mpsc::channel();
     tokio::spawn(actor::run(Told(sender), Idle, mailbox));
     let begun = Instant::now();
