--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -1,6 +1,6 @@
-//! What limits of endpoints cost a gateway: `cargo bench --bench limits`.
+//! Cost of endpoint rate limits for a gateway: `cargo bench --bench limits`.
 //!
-//! Virtual time, no network, this machine's processor time; one run of a row.
+//! Measures processor time of this machine, in virtual time without network; one run per row.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -26,7 +26,7 @@
 
 const GATEWAYS: [u16; 3] = [30, 100, 300];
 const LIMITED: [usize; 2] = [0, 100];
-/// Endpoints of the one pool.
+/// Endpoints of the only pool.
 const ENDPOINTS: usize = 300;
 const REQUESTS: u64 = 5_000;
 const ASKS: u64 = 5_000;
@@ -115,7 +115,7 @@
     Outgoing::new(message).encode_for(Some(FORM)).len()
 }
 
-/// A gateway among others that has heard of limits.
+/// A gateway that has received its peers' state with announced limits.
 fn gateway(gateways: u16, limited: usize, now: Duration) -> GatewayCore {
     let mut core = GatewayCore::new(Setup {
         address: address(1),
@@ -138,18 +138,18 @@
         Event::Published { documents, snapshot_at: Some(Position::new(0, 5)) },
         Duration::ZERO,
     );
-    hear(&mut core, gateways, limited, now);
+    receive_heartbeat(&mut core, gateways, limited, now);
     core
 }
 
-fn hear(core: &mut GatewayCore, gateways: u16, limited: usize, now: Duration) {
+fn receive_heartbeat(core: &mut GatewayCore, gateways: u16, limited: usize, now: Duration) {
     let mut members: Vec<Member> = (2..=gateways).map(member).collect();
     members.iter_mut().for_each(|m| m.heartbeat = now.as_millis() as u64);
     let message = heartbeat(members, (0..limited).map(limit).collect());
     core.handle(Event::PeerMessage { from: address(2), message }, now);
 }
 
-/// Processor time of a request that is answered at once.
+/// Processor time per request with an immediate response.
 fn request_time(gateways: u16, limited: usize) -> Duration {
     let mut now = Duration::from_secs(10);
     let mut core = gateway(gateways, limited, now);
@@ -183,12 +183,12 @@
     begun.elapsed() / REQUESTS as u32
 }
 
-/// Processor time of a limiter for one ask.
+/// Processor time of a limiter per permit request.
 fn ask_time(gateways: u16, limited: usize) -> Duration {
     let mut now = Duration::from_secs(10);
     let mut core = gateway(gateways, limited, now);
     now += Duration::from_secs(2);
-    hear(&mut core, gateways, limited, now);
+    receive_heartbeat(&mut core, gateways, limited, now);
     let begun = Instant::now();
     for number in 0..ASKS {
         now += Duration::from_micros(100);
@@ -201,7 +201,7 @@
 
 fn main() {
     println!(
-        "| gateways | limits | heartbeat | with them as news | ask | permit | a request | an ask |"
+        "| gateways | limits | heartbeat | with limits | permit request | permit | time per request | time per permit request |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     let wait = Duration::from_millis(700);
--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -1,19 +1,19 @@
-//! What an owner of batch pools costs by the jobs that come in a second: `cargo bench --bench owner`.
+//! Cost of an owner of batch pools by jobs per second: `cargo bench --bench owner`.
 //!
-//! Virtual time, no network; shares of a core of the machine that it runs on, one run of a row.
+//! Measures shares of a core of this machine, in virtual time without network; one run per row.
 
 use std::time::Duration;
 
 use stackmast_testbed::owner_load::{OwnerLoad, Shape};
 
-/// Jobs a second, and endpoints about in proportion.
+/// Jobs per second, and endpoints approximately in proportion.
 const ROWS: [(f64, usize); 6] =
     [(17.0, 7), (87.0, 38), (350.0, 154), (525.0, 154), (700.0, 308), (1_400.0, 616)];
 const LASTS: Duration = Duration::from_secs(10);
 
 fn main() {
     println!(
-        "| jobs a second | endpoints | share of a core | submit | actions | ms a job | held | served | looked at a job |"
+        "| jobs per second | endpoints | share of a core | submit | actions | ms per job | max jobs | served | examined per job |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for (jobs, endpoints) in ROWS {
--- a/codegen/src/lib.rs
+++ b/codegen/src/lib.rs
@@ -1,1 +1,2 @@
-//! Only a test: it must compile where the wire code does not match the daemon yet.
+//! Contains only a test. A separate crate, so that it compiles while the wire code does not yet
+//! match the daemon.
--- a/codegen/tests/generated.rs
+++ b/codegen/tests/generated.rs
@@ -1,9 +1,9 @@
-//! The committed wire code is what the .proto gives; `STACKMAST_REGENERATE=1` rewrites it.
+//! The committed wire code matches the .proto file; `STACKMAST_REGENERATE=1` regenerates it.
 
 use std::path::Path;
 
 #[test]
-fn wire_code_is_what_the_proto_gives() {
+fn wire_code_matches_proto() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let wire = root.join("src/wire");
     let out = Path::new(env!("CARGO_TARGET_TMPDIR")).join("generated");
--- a/testbed/src/capacity.rs
+++ b/testbed/src/capacity.rs
@@ -1,4 +1,5 @@
-//! Slopes for docs/CAPACITY.md: memory, processor time and bytes of the real daemon, as sizes grow.
+//! Measurements for docs/CAPACITY.md: memory, processor time and bytes of the real daemon at
+//! growing sizes.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,47 +14,47 @@
 use crate::fleet::{Fleet, FleetError, Process, Program};
 use crate::load::{Ending, Planned, arrivals, drive, rng};
 
-/// Changes that are published one after the other.
+/// Number of changes that are published sequentially.
 const CHANGES: u64 = 10;
-/// How long an idle fleet is watched.
+/// Duration of the measurement of an idle fleet.
 const IDLE: Duration = Duration::from_secs(10);
-/// How long the data path is loaded.
+/// Duration of the load on the data path, in seconds.
 const DATA_PATH_SECONDS: f64 = 5.0;
-/// Clock ticks a second in /proc (USER_HZ, fixed by the Linux ABI).
+/// Clock ticks per second in /proc (USER_HZ, fixed by the Linux ABI).
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Why slopes could not be measured.
+/// Reason why a measurement failed.
 #[derive(Debug, Snafu)]
 pub enum CapacityError {
-    /// The fleet could not be started.
+    /// The fleet failed to start.
     #[snafu(display("{source}"), context(false))]
     Start {
-        /// Why.
+        /// Underlying error.
         source: FleetError,
     },
     /// The configuration can't be split.
     #[snafu(display("{source}"), context(false))]
     Parts {
-        /// Why.
+        /// Underlying error.
         source: PartsError,
     },
-    /// A process's figures can't be read.
+    /// A file in /proc could not be read.
     #[snafu(display("{path}: {source}"))]
     Proc {
-        /// Which file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Underlying error.
         source: std::io::Error,
     },
-    /// A process's figures are not as the kernel writes them.
-    #[snafu(display("{path} can't be read"))]
+    /// A file in /proc has an unexpected format.
+    #[snafu(display("unexpected format of /proc file {path}"))]
     Format {
-        /// Which file.
+        /// Path of the file.
         path: String,
     },
 }
 
-/// What a process has used.
+/// Resources that a process has used.
 #[derive(Debug, Clone, Copy, Default)]
 struct Usage {
     resident_mib: f64,
@@ -69,7 +70,8 @@
     let kib: f64 = kib.and_then(|k| k.parse().ok()).context(FormatSnafu { path })?;
     let stat = read_proc(process, "stat")?;
     let path = "stat";
-    // The name in parentheses may have spaces; times stand 12 and 13 fields behind it.
+    // The name in parentheses may contain spaces; the processor times are the 12th and 13th fields
+    // after it.
     let (_, rest) = stat.rsplit_once(')').context(FormatSnafu { path })?;
     let fields: Vec<f64> =
         rest.split_whitespace().skip(11).take(2).filter_map(|f| f.parse().ok()).collect();
@@ -88,7 +90,8 @@
     std::fs::read_to_string(&path).context(ProcSnafu { path })
 }
 
-/// Sizes of a configuration's parts, and of what one change of an organisation sends.
+/// Prints the sizes of a configuration's parts, and of the parts that a change of one organisation
+/// replaces.
 pub fn print_parts(endpoints: usize, organisations: usize) -> Result<(), CapacityError> {
     let config = two_years(endpoints, organisations);
     let before = split(&config)?;
@@ -110,7 +113,8 @@
     Ok(())
 }
 
-/// Memory and processor time of a gateway and an agent with a configuration of these sizes.
+/// Prints the memory and processor time of a gateway and an agent with a configuration of these
+/// sizes.
 pub async fn print_memory(
     program: &Program,
     endpoints: usize,
@@ -144,7 +148,8 @@
     organisation.labels.insert("changed".to_owned(), i.to_string());
 }
 
-/// Time until a change is in force at `processes` agents, and what it costs each; then what idling costs.
+/// Prints the time until a change takes effect at `processes` agents, its cost for each process,
+/// and the cost of an idle fleet.
 pub async fn print_spread(program: &Program, processes: usize) -> Result<(), CapacityError> {
     let mut fleet = Fleet::bare(program, two_years(processes.max(24), 1_000), processes, 1).await?;
     let before = totals(&fleet).await?;
@@ -178,7 +183,8 @@
     Ok(())
 }
 
-/// Processor time that one request of these tokens costs a gateway and all agents together.
+/// Prints the processor time of one request with this number of tokens, for the gateway and for all
+/// agents together.
 pub async fn print_data_path(
     program: &Program,
     rate: f64,
@@ -224,7 +230,7 @@
     Ok(total)
 }
 
-/// Prints all slopes.
+/// Runs all measurements and prints their tables.
 pub async fn run(program: &Program, processes: &[usize]) -> Result<(), CapacityError> {
     println!("endpoints organisations  parts total bytes largest part  manifest a change");
     for (endpoints, organisations) in [(300, 2_500), (3_000, 2_500), (3_000, 25_000)] {
--- a/testbed/src/client.rs
+++ b/testbed/src/client.rs
@@ -1,4 +1,5 @@
-//! A caller: sends requests to a gateway and reads whole answers, buffered or as events.
+//! HTTP client of callers and operators: sends requests and reads complete responses, buffered or
+//! as events.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,40 +13,40 @@
 use serde_json::{Value, json};
 use snafu::{ResultExt, Snafu};
 
-/// Why no answer came.
+/// Reason why a request got no response.
 #[derive(Debug, Snafu)]
 pub enum ClientError {
     /// The call failed.
     #[snafu(display("{source}"))]
     Call {
-        /// Why.
+        /// Underlying error.
         source: hyper_util::client::legacy::Error,
     },
-    /// The answer was cut.
-    #[snafu(display("the answer was cut: {source}"))]
+    /// The response was incomplete.
+    #[snafu(display("incomplete response: {source}"))]
     Cut {
-        /// Why.
+        /// Underlying error.
         source: hyper::Error,
     },
-    /// The request can't be made.
+    /// The request could not be built.
     #[snafu(display("{source}"))]
     Request {
-        /// Why.
+        /// Underlying error.
         source: hyper::http::Error,
     },
-    /// No answer came in time.
-    #[snafu(display("no answer in time"))]
+    /// No response arrived within the timeout.
+    #[snafu(display("no response within the timeout"))]
     TimedOut,
 }
 
-/// An answer.
+/// A complete response.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// The status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// The headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
@@ -55,18 +56,18 @@
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// The body as JSON; null where it is none.
+    /// The body as JSON; null if it is not valid JSON.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or(Value::Null)
     }
 
-    /// The request that was answered.
+    /// Request id that the response names; empty if there is none.
     pub fn request(&self) -> String {
         let header = self.headers.get("x-stackmast-request").and_then(|v| v.to_str().ok());
         header.unwrap_or_default().to_owned()
     }
 
-    /// The events of a stream: their names and data.
+    /// The events of a stream, as pairs of name and data.
     pub fn events(&self) -> Vec<(String, Value)> {
         let text = self.text();
         let blocks = text.split("\n\n").filter(|b| !b.is_empty());
@@ -79,25 +80,25 @@
     }
 }
 
-/// What a caller asks for.
+/// A request of a caller to a pipeline.
 #[derive(Debug, Clone)]
 pub struct Ask {
-    /// The pipeline.
+    /// Name of the pipeline.
     pub pipeline: String,
-    /// The organisation.
+    /// Name of the organisation.
     pub organisation: String,
-    /// The caller's own key, by which runs and answers are matched.
+    /// Unique key of the request, used to match runs and responses.
     pub key: String,
     /// Tokens to generate.
     pub tokens: usize,
-    /// Bytes that make the input as long as a brief is.
+    /// Bytes of padding in the input, to reach the size of a long brief.
     pub padding: usize,
-    /// The body's other fields.
+    /// Additional fields of the body.
     pub more: Value,
 }
 
 impl Ask {
-    /// A short request.
+    /// Creates a short request.
     pub fn new(pipeline: &str, organisation: &str, key: &str) -> Self {
         Self {
             pipeline: pipeline.to_owned(),
@@ -120,7 +121,7 @@
     }
 }
 
-/// A caller, or an operator.
+/// HTTP client of a caller or an operator.
 #[derive(Debug, Clone)]
 pub struct Client {
     http: HttpClient<HttpConnector, Full<Bytes>>,
@@ -134,11 +135,11 @@
 }
 
 impl Client {
-    /// A client that waits so long.
+    /// Creates a client with a timeout for each request.
     pub fn new(timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        // A caller whose request may not be repeated does not repeat it unasked.
+        // The HTTP library must not repeat requests on its own: some are not idempotent.
         let http = HttpClient::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
             .build(connector);
@@ -151,7 +152,7 @@
         self.call(Method::POST, gateway, &path, "", ask.body().to_string()).await
     }
 
-    /// Makes any call.
+    /// Sends an HTTP request with a bearer token.
     pub async fn call(
         &self,
         method: Method,
--- a/testbed/src/demo.rs
+++ b/testbed/src/demo.rs
@@ -1,4 +1,5 @@
-//! The demo: both deployments, small, on loopback; real requests, each answer with its explanation.
+//! The demo: runs both deployments at a small size on loopback, sends real requests, and prints
+//! each response with its explanation.
 
 use hyper::Method;
 use serde_json::Value;
@@ -9,30 +10,30 @@
 use crate::engine::Speed;
 use crate::fleet::{Fleet, FleetError, Program};
 
-/// Why the demo failed.
+/// Reason why the demo failed.
 #[derive(Debug, Snafu)]
 pub enum DemoError {
-    /// The fleet could not be started.
+    /// The fleet failed to start.
     #[snafu(display("{source}"), context(false))]
     Start {
-        /// Why.
+        /// Underlying error.
         source: FleetError,
     },
-    /// A request got no answer.
+    /// A request got no response.
     #[snafu(display("{pipeline}: {source}"))]
     NoAnswer {
-        /// Which.
+        /// Pipeline of the request.
         pipeline: String,
-        /// Why.
+        /// Underlying error.
         source: ClientError,
     },
 }
 
 const SIZES: Sizes = Sizes { service: 2, model: 4, data_centres: 2 };
-/// Bytes of a long brief.
+/// Size of a long brief in bytes.
 const LONG_BRIEF: usize = 64 << 10;
 
-/// Runs both deployments and prints what their callers and operators see.
+/// Runs both deployments and prints the responses for callers and operators.
 pub async fn run(program: &Program) -> Result<(), DemoError> {
     let speed = Speed::default();
     println!("== campsites: guest replies and refund notices ==");
@@ -57,7 +58,7 @@
 async fn show(program: &Program, deployment: Deployment, asks: &[Ask]) -> Result<(), DemoError> {
     let fleet = Fleet::start(program, deployment, 2).await?;
     println!(
-        "{} agents and {} gateways run, configuration {} is in force",
+        "{} agents and {} gateways are running with configuration {}",
         fleet.agents.len(),
         fleet.gateways.len(),
         fleet.config.version
@@ -74,7 +75,7 @@
             id if id.is_empty() => last_request(&text),
             id => id,
         };
-        // The other gateway is asked, to show that any can explain.
+        // Query the other gateway, to show that any gateway can explain a request.
         let other = &fleet.gateways[(gateway + 1) % fleet.gateways.len()];
         let path = format!("/v1/requests/{id}/explain");
         if let Some(explanation) = fleet.admin(other, Method::GET, &path).await {
@@ -84,7 +85,7 @@
     Ok(())
 }
 
-/// The request that a stream's last event names.
+/// Request id in the last event of a stream.
 fn last_request(text: &str) -> String {
     let data = text.lines().rev().find_map(|l| l.strip_prefix("data: "));
     let data: Value = data.and_then(|d| serde_json::from_str(d).ok()).unwrap_or_default();
--- a/testbed/src/deployment.rs
+++ b/testbed/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The two deployments of the brief, at their sizes or smaller, as configurations and stand-ins.
+//! The two example deployments as configurations and stand-ins, at a configurable size.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use crate::engine::Speed;
 use crate::service::Times;
 
-/// What a stand-in endpoint is.
+/// Kind of a stand-in endpoint.
 #[derive(Debug, Clone, Copy)]
 pub enum StandIn {
     /// A plain service.
@@ -20,23 +20,23 @@
     Engine(Speed),
 }
 
-/// One endpoint to start.
+/// Specification of an endpoint to start.
 #[derive(Debug, Clone)]
 pub struct EndpointSpec {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: String,
-    /// What it is.
+    /// Kind of the stand-in.
     pub stand_in: StandIn,
-    /// Its labels.
+    /// Labels of the endpoint.
     pub labels: Labels,
-    /// Where it stands.
+    /// Data centre of the endpoint.
     pub data_centre: String,
-    /// Calls that its agent hands over at once.
+    /// Maximum number of concurrent calls from its agent.
     pub concurrency: u32,
 }
 
 impl EndpointSpec {
-    /// The kind in the configuration.
+    /// Kind of the endpoint in the configuration.
     pub const fn kind(&self) -> EndpointKind {
         match self.stand_in {
             StandIn::Service(_) => EndpointKind::Service,
@@ -45,34 +45,35 @@
     }
 }
 
-/// A deployment: what operators publish, less the addresses, and the endpoints to start.
+/// A deployment: the configuration that operators publish, without addresses, and the endpoints to
+/// start.
 #[derive(Debug, Clone)]
 pub struct Deployment {
     /// The configuration without endpoints.
     pub config: Config,
     /// The endpoints.
     pub endpoints: Vec<EndpointSpec>,
-    /// Whether fault proxies stand before agents and endpoints.
+    /// Whether connections to agents and endpoints pass through fault proxies.
     pub proxied: bool,
 }
 
-/// Replicas of each service, and of the model.
+/// Size of a deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct Sizes {
-    /// Of each of the four services.
+    /// Replicas of each of the four services.
     pub service: usize,
-    /// Of the model.
+    /// Replicas of the model.
     pub model: usize,
-    /// Data centres.
+    /// Number of data centres.
     pub data_centres: usize,
 }
 
-/// A selector that is known to be well formed.
+/// Parses a selector that is known to be valid.
 pub fn selector(text: &str) -> Selector {
     Selector::parse(text).expect("a selector of the test bench")
 }
 
-/// Labels from pairs.
+/// Builds labels from pairs.
 pub fn labels(pairs: &[(&str, &str)]) -> Labels {
     pairs.iter().map(|(k, v)| ((*k).to_owned(), (*v).to_owned())).collect()
 }
@@ -90,7 +91,8 @@
     Pipeline { name: name.to_owned(), deadline_ms, priority, stages }
 }
 
-/// A pipeline of stages given as name, service, whether it may be repeated, and expected time in ms.
+/// Builds a pipeline from stages, each given as name, service, whether it may be repeated, and
+/// expected time in milliseconds.
 pub fn pipeline_of(
     name: &str,
     deadline_ms: u64,
@@ -111,7 +113,7 @@
     ]
 }
 
-/// The five organisations of a user, the first of them large.
+/// Five organisations, of which the first is large.
 pub fn organisations(prefix: &str) -> Vec<Arc<Organisation>> {
     (0..5)
         .map(|i| Organisation {
@@ -155,7 +157,7 @@
     specs
 }
 
-/// How long the services of both deployments take.
+/// Call durations of the services of both deployments.
 pub const SERVICE_TIMES: Times =
     Times { base: Duration::from_millis(5), per_kib: Duration::from_micros(500), concurrency: 8 };
 
@@ -226,14 +228,14 @@
     Deployment { config, endpoints, proxied: true }
 }
 
-/// Data centres in two years.
+/// Data centres of the projected configuration.
 const DATA_CENTRES: usize = 7;
-/// Pipelines in two years.
+/// Pipelines of the projected configuration.
 const PIPELINES: usize = 24;
-/// Models in two years.
+/// Models of the projected configuration.
 const MODELS: usize = 21;
 
-/// A configuration of the size of two years from now.
+/// Builds a configuration of the size that is projected for two years from now.
 pub fn two_years(endpoints: usize, organisations: usize) -> Config {
     let services = ["encoder", "retriever", "reranker"];
     let kinds = MODELS + services.len();
--- a/testbed/src/engine.rs
+++ b/testbed/src/engine.rs
@@ -1,4 +1,5 @@
-//! A model engine: continuous batching by steps, resumable streams, a prefix cache, fenced orders.
+//! Stand-in for a model engine: continuous batching in steps, resumable streams, a prefix cache,
+//! fenced orders.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,25 +16,25 @@
 use crate::serve::{Answer, Call, Handler, header, json, streamed, whole};
 use crate::service::{Fault, Faults};
 
-/// Ended streams that are kept for those who resume.
+/// Number of finished streams that are kept for resumption.
 const KEPT_STREAMS: usize = 4_096;
-/// Steps by which reported load lags.
+/// Number of steps by which the reported load lags.
 const LOAD_LAG_STEPS: u64 = 100;
-/// One cache event in this many is lost.
+/// One in this many cache events is dropped.
 const EVENT_GAP: u64 = 7;
-/// Pieces that wait for a reader.
+/// Maximum number of buffered pieces of a response.
 const BUFFERED_PIECES: usize = 64;
 
-/// How fast an engine is.
+/// Speed and capacity of an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct Speed {
-    /// Time of a step; each running stream gets a token a step.
+    /// Duration of a step; each running stream produces one token per step.
     pub step: Duration,
-    /// Streams that run at once.
+    /// Maximum number of streams that run concurrently.
     pub batch: usize,
-    /// Steps before the first token, for each KiB of prompt that is not cached.
+    /// Steps before the first token per KiB of uncached prompt.
     pub prefill_steps_per_kib: usize,
-    /// Prefixes that the cache holds.
+    /// Number of prefixes that the cache holds.
     pub cached_prefixes: usize,
 }
 
@@ -80,12 +81,12 @@
     speed: Speed,
     runs: Runs,
     state: Mutex<State>,
-    /// How it misbehaves.
+    /// Injected fault.
     pub faults: Faults,
 }
 
 impl Engine {
-    /// An engine whose steps run until it is dropped.
+    /// Starts an engine that runs steps until it is dropped.
     pub fn start(name: &str, speed: Speed, runs: Runs) -> Arc<Self> {
         let engine = Arc::new(Self {
             name: name.to_owned(),
@@ -115,13 +116,13 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The order that holds, and how many were refused.
+    /// The order in force and the number of refused orders.
     pub fn order(&self) -> (Option<Order>, u64) {
         let state = self.state();
         (state.order.clone(), state.refused_orders)
     }
 
-    /// Streams that run now.
+    /// Number of running streams.
     pub fn running(&self) -> usize {
         self.state().running.len()
     }
@@ -191,7 +192,8 @@
         true
     }
 
-    /// Whether the prefix was cached; it is now, and the oldest one may not be any more.
+    /// Adds a prefix to the cache, which may evict the oldest one. Returns whether it was cached
+    /// before.
     fn touch_prefix(&self, state: &mut State, prefix: u64) -> bool {
         let cached = state.prefixes.contains(&prefix);
         if !cached {
@@ -305,7 +307,7 @@
     query.strip_prefix("offset=").and_then(|o| o.parse().ok()).unwrap_or(0)
 }
 
-/// An engine as a handler.
+/// HTTP handler of an engine.
 pub struct EngineHandler(pub Arc<Engine>);
 
 impl Handler for EngineHandler {
--- a/testbed/src/fleet.rs
+++ b/testbed/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Starts a deployment: stand-ins in this process, gateways and agents as processes of their own.
+//! Starts a deployment: stand-ins in this process, gateways and agents as separate processes.
 
 use std::collections::{HashMap, HashSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
@@ -25,61 +25,61 @@
 use crate::serve::{Server, serve};
 use crate::service::{Faults, PlainService};
 
-/// What operators present in the test bench.
+/// Token of operators in the test bench.
 pub const ADMIN_TOKEN: &str = "testbed-admin-token";
-/// Signs tickets in the test bench.
+/// Key that signs tickets in the test bench.
 pub const TICKET_KEY: &str = "testbed-ticket-key-0123456789";
-/// How long a process may take to become ready.
+/// Time within which a process must become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often a condition is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Interval at which conditions are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why a fleet could not be started.
+/// Reason why a fleet failed to start.
 #[derive(Debug, Snafu)]
 pub enum FleetError {
-    /// A socket or a process.
+    /// An operation on a socket, file or process failed.
     #[snafu(display("{what}: {source}"))]
     Io {
-        /// What was to be done.
+        /// Operation that failed.
         what: &'static str,
-        /// Why it failed.
+        /// Underlying error.
         source: std::io::Error,
     },
-    /// The configuration can't be published.
+    /// The configuration could not be published.
     #[snafu(display("{source}"), context(false))]
     Parts {
-        /// Why.
+        /// Underlying error.
         source: PartsError,
     },
     /// A process did not become ready.
     #[snafu(display("{name} did not become ready; its log:\n{log}"))]
     NotReady {
-        /// Which.
+        /// Name of the process.
         name: String,
-        /// What it logged.
+        /// Log of the process.
         log: String,
     },
 }
 
-/// How to run the daemon.
+/// Command that runs the daemon.
 #[derive(Debug, Clone)]
 pub struct Program {
-    /// The executable.
+    /// Path of the executable.
     pub path: PathBuf,
-    /// Arguments before the daemon's own.
+    /// Arguments that precede those of the daemon.
     pub before: Vec<String>,
 }
 
 /// One process of the fleet; it is killed when this is dropped.
 #[derive(Debug)]
 pub struct Process {
-    /// Its host name.
+    /// Host name of the process.
     pub name: String,
-    /// Where callers connect; only gateways.
+    /// Address for callers; only for gateways.
     pub callers: Option<SocketAddr>,
-    /// Where other processes connect.
+    /// Address for other processes.
     pub internal: SocketAddr,
-    /// Where operators connect.
+    /// Address for operators.
     pub admin: SocketAddr,
     settings: PathBuf,
     program: Program,
@@ -93,34 +93,34 @@
 }
 
 impl Process {
-    /// Ends it without warning.
+    /// Kills the process.
     pub fn kill(&mut self) {
         self.child.kill().ok();
         self.child.wait().ok();
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         kill(Pid::from_raw(self.child.id() as i32), signal).ok();
     }
 
-    /// Starts it anew, with the same settings, after it has ended.
+    /// Starts the process again with the same settings, after it has exited.
     pub fn restart(&mut self) -> Result<(), FleetError> {
         self.child = spawn(&self.program, &self.settings)?;
         Ok(())
     }
 
-    /// Its exit code, once it has ended.
+    /// Exit code, once the process has exited.
     pub fn exit_code(&mut self) -> Option<i32> {
         self.child.try_wait().ok().flatten().and_then(|status| status.code())
     }
 
-    /// What it has logged since its last start.
+    /// Log of the process since its last start.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.settings.with_extension("log")).unwrap_or_default()
     }
 
-    /// Its process id.
+    /// Process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -129,7 +129,7 @@
 fn spawn(program: &Program, settings: &Path) -> Result<Child, FleetError> {
     let log = std::fs::File::create(settings.with_extension("log"));
     let log = log.context(IoSnafu { what: "create a log" })?;
-    let _alone = STARTING.lock().unwrap_or_else(PoisonError::into_inner);
+    let _alone = START_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     Command::new(&program.path)
         .args(&program.before)
         .arg("--settings")
@@ -141,38 +141,38 @@
         .context(IoSnafu { what: "start the daemon" })
 }
 
-/// A stand-in that runs, with what can be changed of it.
+/// A running stand-in with its controls.
 pub struct Running {
-    /// Its faults.
+    /// Injected fault.
     pub faults: Faults,
-    /// The engine, where it is one.
+    /// The engine, if the stand-in is one.
     pub engine: Option<Arc<Engine>>,
-    /// Between its agent and it.
+    /// Proxy between the agent and the stand-in.
     pub proxy: Proxy,
-    /// Where it listens itself.
+    /// Address of the stand-in without proxy.
     pub address: SocketAddr,
     _server: Server,
 }
 
-/// A deployment that runs.
+/// A running deployment.
 pub struct Fleet {
-    /// The platform.
+    /// Stand-in for the platform.
     pub platform: Arc<Platform>,
-    /// Where it listens, behind its proxy.
+    /// Proxy in front of the platform.
     pub platform_proxy: Proxy,
-    /// What the stand-ins ran.
+    /// Stages that the stand-ins ran.
     pub runs: Runs,
-    /// The stand-ins, by endpoint.
+    /// Stand-ins by endpoint.
     pub stand_ins: HashMap<String, Running>,
-    /// The agents, by endpoint.
+    /// Agents by endpoint.
     pub agents: HashMap<String, Process>,
-    /// The proxies before the agents, by endpoint.
+    /// Proxies in front of the agents, by endpoint.
     pub agent_proxies: HashMap<String, Proxy>,
-    /// The gateways.
+    /// Gateways.
     pub gateways: Vec<Process>,
-    /// The configuration that was published last.
+    /// Configuration that was published last.
     pub config: Config,
-    /// Asks operators' questions.
+    /// Client for administrative requests.
     pub client: Client,
     own: SocketAddr,
     addresses: Addresses,
@@ -188,18 +188,18 @@
     }
 }
 
-/// Any port of an address of the loopback range that is this fleet's alone, so that no outgoing
-/// connection takes a port between its being found free and its being listened on.
+/// Port 0 of a random loopback address for this fleet, so that no outgoing connection takes a port
+/// between the check that it is free and the start of its listener.
 fn own_address() -> SocketAddr {
     let [a, b, c, _] = rand::random::<u32>().to_be_bytes();
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, a.max(1), b, c.clamp(1, 254))), 0)
 }
 
-/// Held while a port is found and while a process is started: between fork and exec a child holds its
-/// parent's sockets, so that a port that was found free elsewhere would not be free.
-static STARTING: Mutex<()> = Mutex::new(());
+/// Held while a port is searched and while a process is started: between fork and exec a child
+/// holds its parent's sockets, so that a port that another thread just found free would be in use.
+static START_LOCK: Mutex<()> = Mutex::new(());
 
-/// Addresses for processes: found free, and none given out twice.
+/// Allocates free addresses for processes, each only once.
 struct Addresses {
     own: SocketAddr,
     given: HashSet<SocketAddr>,
@@ -208,7 +208,7 @@
 impl Addresses {
     fn take(&mut self) -> Result<SocketAddr, FleetError> {
         let what = "find a free port";
-        let _alone = STARTING.lock().unwrap_or_else(PoisonError::into_inner);
+        let _alone = START_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
         loop {
             let listener = TcpListener::bind(self.own).context(IoSnafu { what })?;
             let address = listener.local_addr().context(IoSnafu { what })?;
@@ -220,7 +220,7 @@
 }
 
 impl Fleet {
-    /// Starts everything and waits until every gateway is ready and every agent serves.
+    /// Starts all processes and waits until every gateway and agent is ready.
     pub async fn start(
         program: &Program,
         deployment: Deployment,
@@ -234,7 +234,7 @@
         Ok(fleet)
     }
 
-    /// The platform alone.
+    /// Starts only the platform.
     async fn empty(config: Config) -> Result<Self, FleetError> {
         let folder = std::env::temp_dir().join(format!("stackmast-{:016x}", rand::random::<u64>()));
         std::fs::create_dir_all(&folder).context(IoSnafu { what: "create a folder" })?;
@@ -260,7 +260,8 @@
         })
     }
 
-    /// Starts processes alone: agents of the configuration's first endpoints, without stand-ins.
+    /// Starts gateways and the agents of the first endpoints of the configuration, without
+    /// stand-ins.
     pub async fn bare(
         program: &Program,
         config: Config,
@@ -318,7 +319,7 @@
         Ok(())
     }
 
-    /// Publishes, starts the gateways, and waits until all processes are ready.
+    /// Publishes the configuration, starts the gateways, and waits until all processes are ready.
     async fn start_gateways(&mut self, program: &Program, count: usize) -> Result<(), FleetError> {
         self.platform.publish(&self.config)?;
         for i in 0..count {
@@ -373,7 +374,7 @@
         })
     }
 
-    /// Publishes the platform's list of hosts, these of them as leaving.
+    /// Publishes the list of hosts and marks the given ones as leaving.
     pub fn list_hosts(&self, leaving: &[&str]) {
         let agents = self.agents.values().map(|p| (p, false));
         let gateways = self.gateways.iter().map(|p| (p, true));
@@ -390,7 +391,7 @@
         self.platform.list_hosts(hosts.collect());
     }
 
-    /// Publishes a change of the configuration under the next version.
+    /// Changes the configuration and publishes it under the next version, which it returns.
     pub fn publish(&mut self, change: impl FnOnce(&mut Config)) -> Result<u64, FleetError> {
         change(&mut self.config);
         self.config.version += 1;
@@ -398,7 +399,7 @@
         Ok(self.config.version)
     }
 
-    /// Where callers connect to a gateway.
+    /// Address of a gateway for callers.
     pub fn callers(&self, gateway: usize) -> SocketAddr {
         self.gateways[gateway].callers.expect("gateways have callers")
     }
@@ -413,7 +414,7 @@
         self.wait_version(version).await.map(|_| ())
     }
 
-    /// Waits until every process has this configuration; returns how long that took.
+    /// Waits until every process has this configuration version. Returns the time that it took.
     pub async fn wait_version(&self, version: u64) -> Result<Duration, FleetError> {
         let start = Instant::now();
         for process in self.processes() {
@@ -421,7 +422,7 @@
                 if start.elapsed() > READY_TIMEOUT {
                     return NotReadySnafu { name: &process.name, log: process.log() }.fail();
                 }
-                tokio::time::sleep(LOOK_EVERY).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(start.elapsed())
@@ -431,19 +432,19 @@
         self.status(process).await?["config_version"].as_u64()
     }
 
-    /// What a process says of itself.
+    /// Status that a process reports.
     pub async fn status(&self, process: &Process) -> Option<Value> {
         let reply = self.admin(process, Method::GET, "/v1/status").await?;
         Some(reply)
     }
 
-    /// Asks an operator's question of a process.
+    /// Sends an administrative request to a process.
     pub async fn admin(&self, process: &Process, method: Method, path: &str) -> Option<Value> {
         let reply = self.client.call(method, process.admin, path, ADMIN_TOKEN, "").await.ok()?;
         reply.status.is_success().then(|| reply.json())
     }
 
-    /// The sum of a metric's samples in a process whose lines contain `labels`.
+    /// Sum of the samples of a metric in a process whose lines contain `labels`.
     pub async fn metric(&self, process: &Process, name: &str, labels: &str) -> f64 {
         let reply = self.client.call(Method::GET, process.admin, "/metrics", "", "").await;
         let text = reply.map(|r| r.text()).unwrap_or_default();
--- a/testbed/src/frames.rs
+++ b/testbed/src/frames.rs
@@ -1,7 +1,7 @@
-//! Messages between gateways as a build writes them: one of each kind, with every field set.
+//! Encoded messages between gateways: one of each kind, with every field set.
 //!
-//! What this build writes is kept in a file for each form (`tests/frames`), so that later builds can be tried against
-//! it without this one.
+//! The messages of each form are stored in a file (`tests/frames`), so that later builds can be
+//! tested against them without this build.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -37,16 +37,16 @@
 pub struct Frames {
     /// The compact form.
     pub form: u32,
-    /// By kind of message.
+    /// Messages by kind.
     pub frames: BTreeMap<String, Frame>,
 }
 
-/// One message, as it is written.
+/// One encoded message.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
-    /// To whom nothing is known of.
+    /// JSON frame, for a peer with unknown forms.
     pub json: Value,
-    /// To a peer that reads this form; in hexadecimal.
+    /// Compact frame in hexadecimal, for a peer that reads this form.
     pub compact: String,
 }
 
@@ -56,7 +56,7 @@
         self.json.to_string().into_bytes()
     }
 
-    /// The bytes of the compact frame; `None` if it is not written in hexadecimal.
+    /// The bytes of the compact frame; `None` if it is not valid hexadecimal.
     pub fn compact_bytes(&self) -> Option<Vec<u8>> {
         let pairs = self.compact.as_bytes().chunks(2);
         let byte = |pair| u8::from_str_radix(std::str::from_utf8(pair).ok()?, 16).ok();
@@ -64,26 +64,26 @@
     }
 }
 
-/// Why no file was written.
+/// Reason why no file was written.
 #[derive(Debug, Snafu)]
 pub enum FramesError {
     /// A message has no JSON form.
-    #[snafu(display("a message can't be written: {source}"))]
+    #[snafu(display("messages can't be encoded as JSON: {source}"))]
     Encode {
-        /// Why.
+        /// Underlying error.
         source: serde_json::Error,
     },
     /// The file could not be written.
     #[snafu(display("{file}: {source}"))]
     Write {
-        /// Which.
+        /// Path of the file.
         file: String,
-        /// Why.
+        /// Underlying error.
         source: std::io::Error,
     },
 }
 
-/// What this build writes.
+/// Encodes all messages with this build.
 pub fn own() -> Frames {
     let frames = messages().into_iter().map(|message| {
         let kind = message.kind().to_owned();
@@ -96,7 +96,7 @@
     Frames { form: FORM, frames: frames.collect() }
 }
 
-/// Writes what this build writes to a file.
+/// Writes the encoded messages of this build to a file.
 pub fn write(file: &str) -> Result<(), FramesError> {
     let text = serde_json::to_string_pretty(&own()).context(EncodeSnafu)?;
     std::fs::write(file, text + "\n").context(WriteSnafu { file })
--- a/testbed/src/history.rs
+++ b/testbed/src/history.rs
@@ -1,4 +1,4 @@
-//! Checks histories: what callers saw against what endpoints ran.
+//! Checks the responses that callers received against the stages that endpoints ran.
 
 use std::collections::HashMap;
 
@@ -6,104 +6,105 @@
 
 use crate::runs::Run;
 
-/// How much ran, as a refusal says.
+/// Execution state that a refusal reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SaidRan {
-    /// Nothing.
+    /// No stage ran.
     NotRun,
-    /// These stages and no others.
+    /// Exactly the listed stages ran.
     InPart,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// What a caller saw last.
+/// Final outcome that a caller observed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Seen {
-    /// An answer that says to be whole.
+    /// A response that claims to be complete.
     Whole(String),
-    /// A refusal.
+    /// A refused request.
     Refused {
-        /// How much ran.
+        /// Reported execution state.
         ran: SaidRan,
-        /// The stages that it says ran.
+        /// Stages that ran according to the refusal.
         stages_run: Vec<String>,
     },
-    /// No final answer: the connection was lost, or the caller stopped waiting.
+    /// No final response: the connection failed, or the caller timed out.
     Nothing,
 }
 
-/// One request and its fate.
+/// One request with its observed outcomes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// The caller's key, which is in all inputs and in the answer.
+    /// Unique key, contained in all inputs and in the response.
     pub key: String,
-    /// Whether stages may be run again; also a request under a ticket that is sent twice may not.
+    /// Whether stages may be run again; false for a request under a ticket, also if it is sent
+    /// twice.
     pub may_repeat: bool,
-    /// Its pipeline's stages, and whether each may be run again.
+    /// Stages of the pipeline, and whether each may be run again.
     pub stages: Vec<(String, bool)>,
-    /// The whole answer that it must get.
+    /// Complete response that is expected.
     pub expected: String,
-    /// Every final answer that callers saw: one, or more where the request was sent again.
+    /// All observed final outcomes; more than one if the request was sent again.
     pub seen: Vec<Seen>,
 }
 
-/// A promise that a history breaks.
+/// A violated guarantee.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Breach {
-    /// An answer that is not the whole answer to its request.
+    /// The response differs from the expected one.
     #[snafu(display("{key}: got {found:?}"))]
     WrongAnswer {
-        /// The request.
+        /// Key of the request.
         key: String,
-        /// What the caller got.
+        /// Received response.
         found: String,
     },
-    /// "Not run" was said of a request of which a stage ran.
-    #[snafu(display("{key}: said not run, but {stage} ran"))]
+    /// A refusal reported "not run" although a stage ran.
+    #[snafu(display("{key}: reported as not run, but {stage} ran"))]
     FalseNotRun {
-        /// The request.
+        /// Key of the request.
         key: String,
-        /// A stage that ran.
+        /// Name of the stage that ran.
         stage: String,
     },
-    /// "Ran in part" was said with a wrong list of stages.
-    #[snafu(display("{key}: said that {said:?} ran, but {ran:?} did"))]
+    /// A refusal reported "ran in part" with a wrong list of stages.
+    #[snafu(display("{key}: reported that {said:?} ran, but {ran:?} did"))]
     FalseInPart {
-        /// The request.
+        /// Key of the request.
         key: String,
-        /// The stages in the refusal.
+        /// Stages in the refusal.
         said: Vec<String>,
-        /// The stages that ran.
+        /// Stages that ran.
         ran: Vec<String>,
     },
-    /// A stage that may not be repeated ran twice.
+    /// A stage that must not be repeated ran more than once.
     #[snafu(display("{key}: {stage} ran {times} times"))]
     RanTwice {
-        /// The request.
+        /// Key of the request.
         key: String,
-        /// The stage.
+        /// Name of the stage.
         stage: String,
-        /// How often.
+        /// Number of runs.
         times: usize,
     },
-    /// A whole answer without a run of one of its stages.
+    /// A complete response although one of the stages did not run.
     #[snafu(display("{key}: answered, but {stage} never ran"))]
     NeverRan {
-        /// The request.
+        /// Key of the request.
         key: String,
-        /// The stage.
+        /// Name of the stage.
         stage: String,
     },
-    /// An endpoint ran a request that no caller sent.
-    #[snafu(display("{key}: ran, but nobody sent it"))]
+    /// An endpoint ran a request that no caller had sent.
+    #[snafu(display("{key}: ran, but no caller sent it"))]
     Stranger {
-        /// The request.
+        /// Key of the request.
         key: String,
     },
 }
 
-/// Every promise that a history breaks; empty for a good one.
+/// Returns all violated guarantees.
 pub fn check(requests: &[Request], runs: &[Run]) -> Vec<Breach> {
     let mut times: HashMap<(&str, &str), usize> = HashMap::new();
     for run in runs {
--- a/testbed/src/hop.rs
+++ b/testbed/src/hop.rs
@@ -1,4 +1,4 @@
-//! The cost of the path itself: the same calls through stackmast and straight to the endpoints.
+//! Measures the added latency: the same calls through stackmast and directly to the endpoints.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,21 +15,21 @@
 use crate::load::{Planned, arrivals, drive, rng};
 use crate::service::Times;
 
-/// Stages of the pipeline that is measured.
+/// Stages of the measured pipeline.
 const STAGES: [&str; 4] = ["one", "two", "three", "four"];
-/// Replicas of each stage's service.
+/// Replicas of the service of each stage.
 const REPLICAS: usize = 2;
-/// Requests of each way before the measured ones.
+/// Duration of the load before the measurement.
 const WARM_UP: Duration = Duration::from_secs(1);
 
-/// What one way cost, in microseconds.
+/// Latency percentiles in microseconds.
 #[derive(Debug, Clone, Copy)]
 struct Cost {
     p50: u64,
     p99: u64,
 }
 
-/// Measures both ways in turn, several times, and prints a line a round.
+/// Measures both ways alternately and prints one line per round.
 pub async fn run(
     program: &Program,
     rate: f64,
@@ -95,7 +95,7 @@
     cost(measured.map(|o| o.took))
 }
 
-/// The baseline: the caller calls the endpoints itself, one after another.
+/// Measures the baseline: the caller calls the endpoints directly and sequentially.
 async fn measure_direct(addresses: &[SocketAddr], rate: f64, seconds: f64, seed: u64) -> Cost {
     let client = Client::default();
     let times = arrivals(&mut rng(seed), 0.0, seconds + WARM_UP.as_secs_f64(), rate);
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for what surrounds stackmast, the fault proxy, the load tool and the demo.
+//! Test bench: stand-ins for the platform and endpoints, a fault proxy, a load tool and a demo.
 //!
-//! Small: what the promises need, not more. No production code depends on it.
+//! The stand-ins implement only what the tests need. No production code depends on this crate.
 
 pub mod capacity;
 pub mod client;
--- a/testbed/src/load.rs
+++ b/testbed/src/load.rs
@@ -1,4 +1,5 @@
-//! The load tool: sends requests on a schedule drawn from a seed, whether or not answers come.
+//! Open-loop load generator: sends requests on a schedule drawn from a seed, regardless of
+//! responses.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,64 +17,64 @@
 use crate::history::{SaidRan, Seen};
 use crate::runs::{Passed, expected_text};
 
-/// Most requests of one load; it stops by itself.
+/// Maximum number of requests of one load.
 pub const MAX_REQUESTS: usize = 200_000;
-/// How long after the last request answers are waited for.
+/// Time to wait for responses after the last request.
 const GRACE: Duration = Duration::from_secs(5);
 
-/// A request that is sent at a time.
+/// A scheduled request.
 #[derive(Debug, Clone)]
 pub struct Planned {
-    /// When, since the start.
+    /// Send time since the start.
     pub at: Duration,
-    /// Where.
+    /// Address of the gateway.
     pub gateway: SocketAddr,
-    /// What.
+    /// Request to send.
     pub ask: Ask,
-    /// When its caller stops waiting.
+    /// Time within which the response counts as in time.
     pub deadline: Duration,
-    /// How often its caller asks again at once after a refusal.
+    /// Number of immediate retries after a refusal.
     pub ask_again: usize,
 }
 
-/// How a request ended.
+/// Result of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ending {
-    /// Whole, in time.
+    /// Complete and in time.
     InTime,
-    /// Whole, after its deadline.
+    /// Complete, but after the deadline.
     Late,
-    /// An answer that is not its whole answer.
+    /// The response differs from the expected one.
     Wrong,
-    /// Refused, nothing ran.
+    /// Refused; no stage ran.
     NotRun,
-    /// Refused, earlier stages ran.
+    /// Refused; earlier stages ran.
     RanInPart,
-    /// Refused, it may have run.
+    /// Refused; the request may have run.
     Unknown,
-    /// No answer.
+    /// No response.
     Nothing,
 }
 
-/// One request and its end.
+/// One request and its result.
 #[derive(Debug, Clone)]
 pub struct Outcome {
-    /// The request.
+    /// Scheduled request.
     pub planned: Planned,
-    /// How it ended.
+    /// Result of the request.
     pub ending: Ending,
-    /// The reason of a refusal.
+    /// Reason of a refusal; empty otherwise.
     pub reason: String,
-    /// What its caller saw.
+    /// Outcome that the caller observed.
     pub seen: Seen,
-    /// The whole answer that it was to get.
+    /// Complete response that was expected.
     pub expected: String,
-    /// Time from when it was due to its last byte; waiting to be sent counts.
+    /// Time from the scheduled send time to the last byte, including delays before sending.
     pub took: Duration,
 }
 
-/// Times of arrivals, as a Poisson process has them, from `from` to `to` at `rate` a second.
+/// Arrival times of a Poisson process from `from` to `to` seconds, at `rate` per second.
 pub fn arrivals(rng: &mut StdRng, from: f64, to: f64, rate: f64) -> Vec<Duration> {
     let mut times = Vec::new();
     let mut at = from;
@@ -87,12 +88,12 @@
     times
 }
 
-/// The random numbers of a seed.
+/// Random number generator for a seed.
 pub fn rng(seed: u64) -> StdRng {
     StdRng::seed_from_u64(seed)
 }
 
-/// Sends all requests when they are due and returns how each ended.
+/// Sends each request at its scheduled time and returns all results.
 pub async fn drive(planned: Vec<Planned>) -> Vec<Outcome> {
     let client = Client::new(Duration::from_secs(10));
     let ended = Arc::new(Mutex::new(Vec::with_capacity(planned.len())));
@@ -117,7 +118,7 @@
     ended
 }
 
-/// Asks, and asks again at once where it was refused, which is what a retry storm is made of.
+/// Sends a request and retries immediately after a refusal, to generate a retry storm.
 async fn ask(client: &Client, request: &Planned) -> Result<Reply, ClientError> {
     let mut reply = client.ask(request.gateway, &request.ask).await;
     for _ in 0..request.ask_again {
@@ -159,7 +160,7 @@
     (ending, reason, Seen::Refused { ran, stages_run })
 }
 
-/// The whole answer: an engine's text, or what the last service makes of its input.
+/// Expected complete response: the text of an engine, or the output of the last service.
 fn expected(ask: &Ask, reply: Option<&Reply>) -> String {
     let from_service = reply.is_some_and(|r| r.json().is_object());
     if !from_service {
@@ -171,28 +172,28 @@
     serde_json::to_string(&passed).unwrap_or_default()
 }
 
-/// What a load came to.
+/// Statistics of a load.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Summary {
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: usize,
-    /// The share answered in full within the deadline.
+    /// Share of requests with a complete response in time.
     pub attainment: f64,
-    /// The same for the organisation that fared worst.
+    /// Lowest attainment of any organisation.
     pub worst_organisation: f64,
-    /// Requests answered in full within the deadline, for each second of the load.
+    /// Complete responses in time, per second of the load.
     pub goodput: f64,
-    /// Median time of those, in milliseconds.
+    /// Median latency of the responses in time, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile of those, in milliseconds.
+    /// 99th percentile of their latency, in milliseconds.
     pub p99_ms: f64,
-    /// How requests ended.
+    /// Number of requests by result.
     pub endings: BTreeMap<Ending, usize>,
-    /// Why they were refused.
+    /// Number of refusals by reason.
     pub reasons: BTreeMap<String, usize>,
 }
 
-/// Sums up the requests that were due between `from` and `to`.
+/// Computes the statistics of the requests scheduled between `from` and `to`.
 pub fn summarise(outcomes: &[Outcome], from: Duration, to: Duration) -> Summary {
     let counted: Vec<_> = outcomes.iter().filter(|o| (from..to).contains(&o.planned.at)).collect();
     let good = |o: &&&Outcome| o.ending == Ending::InTime;
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The test bench's program: `demo`, and what load and failure tests need.
+//! Program of the test bench: the demo, and tools for load and failure tests.
 
 use std::process::ExitCode;
 
--- a/testbed/src/options.rs
+++ b/testbed/src/options.rs
@@ -10,15 +10,15 @@
 const USAGE: &str = "Usage: stackmast-testbed COMMAND [OPTIONS]
 
   demo                  both deployments on loopback, with explanations
-  hop                   the cost of the path itself, beside calling the endpoints directly
-  capacity [N...]       slopes for docs/CAPACITY.md, with so many processes
+  hop                   added latency, compared with calling the endpoints directly
+  capacity [N...]       measurements for docs/CAPACITY.md, with N processes
   load FILE [POLICY...] a scenario under several policies, paired
-  frames FILE           messages between gateways as this build writes them, one of each kind
-  soak                  real processes under random faults, and the check of the history
+  frames FILE           writes encoded messages between gateways, one of each kind
+  soak                  real processes under random faults, with a check of all outcomes
   stackmastd ARGS       the daemon, as part of this program
 ";
 
-/// Reads the arguments and runs what they name; returns the exit code.
+/// Parses the arguments and runs the command. Returns the exit code.
 pub fn main(args: &[String]) -> u8 {
     if let Some((first, rest)) = args.split_first()
         && first == "stackmastd"
@@ -26,9 +26,9 @@
         return stackmast::options::main(rest);
     }
     let mut parser = Parser::new();
-    parser.optopt("r", "rate", "requests a second", "N");
-    parser.optopt("s", "seconds", "length of a round", "N");
-    parser.optopt("n", "rounds", "rounds", "N");
+    parser.optopt("r", "rate", "requests per second", "N");
+    parser.optopt("s", "seconds", "duration of a round", "N");
+    parser.optopt("n", "rounds", "number of rounds", "N");
     parser.optopt("", "seed", "the seed of a soak", "N");
     parser.optflag("h", "help", "print this help");
     let matches = match parser.parse(args) {
@@ -76,7 +76,7 @@
     matches.opt_str(option).and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// This executable, as the daemon.
+/// Command that runs this executable as the daemon.
 fn this_program() -> Program {
     let path = std::env::current_exe().unwrap_or_else(|_| PathBuf::from("stackmast-testbed"));
     Program { path, before: vec!["stackmastd".to_owned()] }
--- a/testbed/src/owner_load.rs
+++ b/testbed/src/owner_load.rs
@@ -1,8 +1,9 @@
-//! A load of jobs on one owner of batch pools, in virtual time: no network, no other gateways.
+//! Simulates a load of jobs on one owner of batch pools, in virtual time without network and other
+//! gateways.
 //!
-//! Three stages of 1, 4 and 6 pieces, one after the other, calls of 240 ms and a little for each piece:
-//! the pattern of a guest's question, for which a record, permits and notices are fetched before the
-//! answer is generated.
+//! Each job has three sequential stages of 1, 4 and 6 pieces; a call takes 240 ms plus a short time
+//! per piece. This is the pattern of a guest's question, for which a record, permits and notices
+//! are fetched before the response is generated.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,8 +24,8 @@
 use stackmast::direct::published::table::Table;
 use stackmast::direct::repeats::RepeatBudget;
 
-/// Stages: pool, pieces, pieces of a call, time of a piece in ms, bytes of a result, room in bytes, share of
-/// the endpoints in percent.
+/// Stages: pool, pieces, pieces per call, time per piece in ms, result size in bytes, result memory
+/// in bytes, share of the endpoints in percent.
 const STAGES: [(&str, usize, usize, f64, u64, u64, usize); 3] = [
     ("records", 1, 12, 17.0, 8_000, 14_000_000, 35),
     ("permits", 4, 34, 6.1, 60_000, 3_800_000, 29),
@@ -32,51 +33,51 @@
 ];
 const CALL: Duration = Duration::from_millis(240);
 const DATA_CENTRES: usize = 6;
-/// Bytes of a result of the stage beside the others.
-const BESIDE: u64 = 800_000;
-/// How long an owner may leave what is due.
-const LOOK: Duration = Duration::from_millis(25);
-/// From the stages' end until the endpoint of the request has fetched the last results.
-const HANDED_ON: Duration = Duration::from_millis(60);
+/// Result size of the additional parallel stage, in bytes.
+const PARALLEL_RESULT_BYTES: u64 = 800_000;
+/// Interval at which the owner runs its timers.
+const TIMER_INTERVAL: Duration = Duration::from_millis(25);
+/// Time from the end of the stages until the endpoint of the request has fetched the last results.
+const FETCH_TIME: Duration = Duration::from_millis(60);
 
-/// What a load is like.
+/// Parameters of a load.
 #[derive(Debug, Clone, Copy)]
 pub struct Shape {
-    /// Jobs a second.
+    /// Jobs per second.
     pub jobs: f64,
-    /// Endpoints of all pools.
+    /// Number of endpoints of all pools.
     pub endpoints: usize,
-    /// How long jobs come.
+    /// Duration of the load.
     pub lasts: Duration,
-    /// Whether every third job has a stage beside the others, whose results are large.
+    /// Whether every third job has an additional parallel stage with large results.
     pub beside: bool,
-    /// Of 100 calls, how many fail in some way.
+    /// Percentage of calls that fail.
     pub failing: u32,
-    /// Seed of all that is random.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// What a load has cost, in processor time of this machine.
+/// Cost of a load, in processor time of this machine.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Cost {
-    /// Jobs that were submitted.
+    /// Number of submitted jobs.
     pub submitted: u64,
-    /// Jobs whose stages were all made.
+    /// Number of jobs with all results produced.
     pub served: u64,
-    /// Time in `submit`.
+    /// Processor time in `submit`.
     pub submit: Duration,
-    /// Time in `actions`.
+    /// Processor time in `actions`.
     pub actions: Duration,
-    /// Time in all else: calls that end, results that are released, what is due.
+    /// Processor time of completed calls, released results and timers.
     pub rest: Duration,
-    /// Most jobs that were held at once.
+    /// Maximum number of concurrent jobs.
     pub held: usize,
-    /// Jobs that the owner looked at.
+    /// Number of jobs that the owner examined.
     pub looked_at: u64,
 }
 
 impl Cost {
-    /// Everything.
+    /// Total processor time.
     pub fn total(&self) -> Duration {
         self.submit + self.actions + self.rest
     }
@@ -90,18 +91,18 @@
     Look,
 }
 
-/// What a check is told.
+/// Point of the simulation at which a check is called.
 #[derive(Debug)]
 pub enum Moment<'a> {
     /// A job is about to be submitted.
     Submits(&'a Job),
-    /// Calls are about to be filled.
+    /// Calls are about to be filled with pieces.
     Fills,
-    /// This is to be done.
+    /// These actions are about to be executed.
     Acts(&'a [Action]),
 }
 
-/// The load, and the owner that bears it.
+/// Simulation of a load and its owner.
 pub struct OwnerLoad {
     shape: Shape,
     table: Table,
@@ -159,7 +160,7 @@
 }
 
 impl OwnerLoad {
-    /// Nothing has come yet.
+    /// Creates a simulation before its first job.
     pub fn new(shape: Shape) -> Self {
         let deployment = Deployment {
             version: 1,
@@ -180,7 +181,7 @@
             cost: Cost::default(),
         };
         load.at(Duration::ZERO, Happening::Submit);
-        load.at(LOOK, Happening::Look);
+        load.at(TIMER_INTERVAL, Happening::Look);
         load
     }
 
@@ -189,7 +190,7 @@
         self.happenings.insert((time, self.order), happening);
     }
 
-    /// Runs until all that came is over, and tells `check` of each moment.
+    /// Runs until all jobs are complete, and calls `check` at each point.
     pub fn run(
         mut self,
         mut check: impl FnMut(&mut Scheduler, &Table, Duration, Moment<'_>),
@@ -239,7 +240,7 @@
         self.cost.rest += begun.elapsed();
         let is_over = now > self.shape.lasts && self.scheduler.is_idle();
         if is_look && !is_over {
-            self.at(now + LOOK, Happening::Look);
+            self.at(now + TIMER_INTERVAL, Happening::Look);
         }
     }
 
@@ -257,7 +258,13 @@
         if self.shape.beside && number.is_multiple_of(3) {
             let pieces = self.rng.random_range(1..=3);
             let (pool, after, done) = (STAGES[0].0.into(), Vec::new(), Vec::new());
-            stages.push(JobStage { pool, after, result_bytes: BESIDE, pieces, done });
+            stages.push(JobStage {
+                pool,
+                after,
+                result_bytes: PARALLEL_RESULT_BYTES,
+                pieces,
+                done,
+            });
         }
         let data_centre: Name = format!("dc-{}", number as usize % DATA_CENTRES).into();
         Job {
@@ -287,14 +294,14 @@
                 }
                 Action::Send { message: PeerMessage::Ready(job), .. } => {
                     self.cost.served += 1;
-                    self.at(now + HANDED_ON, Happening::Release(job));
+                    self.at(now + FETCH_TIME, Happening::Release(job));
                 }
                 _ => {}
             }
         }
     }
 
-    /// How a call ends, and after how long.
+    /// Draws the outcome of a call and its duration.
     fn outcome(&mut self, call: u64, pieces: usize) -> (BatchOutcome, Duration) {
         let took = CALL + Duration::from_millis(6) * pieces as u32;
         if self.rng.random_range(0..100) >= self.shape.failing {
--- a/testbed/src/platform.rs
+++ b/testbed/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: configuration that can only be read, and a list of hosts that lags.
+//! Stand-in for the platform: a read-only configuration and a list of hosts.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,17 +13,17 @@
 
 use crate::serve::{Answer, Call, Handler, json, whole};
 
-/// How the platform answers.
+/// Response behaviour of the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Mode {
-    /// In milliseconds.
+    /// Responds without delay.
     #[default]
     Up,
-    /// With errors.
+    /// Responds with errors.
     Down,
-    /// After this long.
+    /// Responds after this delay.
     Slow(Duration),
-    /// With what was published before the last publication.
+    /// Responds with the configuration before the last publication.
     Stale,
 }
 
@@ -47,33 +47,36 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Publishes a configuration, as operators do.
+    /// Publishes a configuration.
     pub fn publish(&self, config: &Config) -> Result<(), PartsError> {
         let bundle = split(config)?;
         let manifest = serde_json::to_vec(&bundle.manifest).unwrap_or_default();
         let mut state = self.state();
         state.stale = state.values.clone();
         for (digest, part) in bundle.parts {
-            assert!(part.len() <= MAX_PART_LEN, "the platform holds no larger value");
+            assert!(
+                part.len() <= MAX_PART_LEN,
+                "part exceeds the maximum value size of the platform"
+            );
             state.values.insert(format!("{PART_PREFIX}{digest}"), part);
         }
         state.values.insert(MANIFEST_KEY.to_owned(), Bytes::from(manifest));
         Ok(())
     }
 
-    /// Lists these hosts from now on.
+    /// Replaces the list of hosts.
     pub fn list_hosts(&self, hosts: Vec<Host>) {
         let mut state = self.state();
         let revision = state.hosts.revision + 1;
         state.hosts = HostList { revision, hosts };
     }
 
-    /// Answers in this way from now on.
+    /// Sets the response behaviour.
     pub fn set_mode(&self, mode: Mode) {
         self.state().mode = mode;
     }
 
-    /// Calls so far.
+    /// Number of calls so far.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
--- a/testbed/src/proxy.rs
+++ b/testbed/src/proxy.rs
@@ -9,35 +9,35 @@
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
-/// Bytes that are passed on at once.
+/// Buffer size in bytes.
 const BUFFER: usize = 16 << 10;
-/// Bytes that a trickling link passes on at once.
+/// Buffer size of a trickling link in bytes.
 const TRICKLE_BUFFER: usize = 16;
-/// How long a trickling link pauses between them.
+/// Pause between two writes of a trickling link.
 const TRICKLE_PAUSE: Duration = Duration::from_millis(2);
 
-/// What the proxy does with what passes.
+/// Behaviour of the proxy for the data that it relays.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Link {
-    /// Passes it on.
+    /// Forwards data immediately.
     #[default]
     Up,
-    /// Passes it on after this time.
+    /// Forwards data after this delay.
     Delayed(Duration),
-    /// Passes it on a few bytes at a time.
+    /// Forwards a few bytes at a time.
     Trickling,
-    /// Holds it, and holds connections open.
+    /// Forwards no data and keeps connections open.
     Frozen,
-    /// Holds what comes from the server, passes on what comes from the client.
+    /// Forwards data from the client only.
     OneWay,
     /// Closes connections and refuses new ones.
     Cut,
 }
 
-/// A running proxy; it ends when this is dropped.
+/// A running proxy; stopped on drop.
 #[derive(Debug)]
 pub struct Proxy {
-    /// Where clients connect.
+    /// Address for clients.
     pub address: SocketAddr,
     link: watch::Sender<Link>,
     task: AbortHandle,
@@ -50,7 +50,7 @@
 }
 
 impl Proxy {
-    /// A proxy on `listen` in front of `target`.
+    /// Starts a proxy on `listen` that forwards to `target`.
     pub async fn start(listen: SocketAddr, target: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
@@ -59,7 +59,7 @@
         Ok(Self { address, link, task: task.abort_handle() })
     }
 
-    /// From here on, this; also for open connections.
+    /// Sets the behaviour, also for open connections.
     pub fn set(&self, link: Link) {
         self.link.send_replace(link);
     }
@@ -90,7 +90,7 @@
     let link = Arc::new(link);
     let up = pump(client_in, server_out, (*link).clone(), Direction::FromClient);
     let down = pump(server_in, client_out, (*link).clone(), Direction::FromServer);
-    // Either way's end is the end of the connection.
+    // The connection is closed when either direction ends.
     tokio::select! {
         () = up => {}
         () = down => {}
--- a/testbed/src/runs.rs
+++ b/testbed/src/runs.rs
@@ -1,25 +1,25 @@
-//! What the stand-ins ran: the truth that histories are checked against.
+//! Record of the stages that the stand-ins ran, against which callers' outcomes are checked.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
 use serde::{Deserialize, Serialize};
 
-/// One stage that an endpoint began to run.
+/// One stage that an endpoint started to run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: String,
-    /// The stage.
+    /// Name of the stage.
     pub stage: String,
-    /// The request, as the gateway named it.
+    /// Request id from the gateway.
     pub request: String,
-    /// The attempt, as the gateway named it.
+    /// Attempt id from the gateway.
     pub attempt: String,
-    /// The caller's own key, found in the input; it goes through all stages.
+    /// Unique key of the request, taken from the input and passed through all stages.
     pub key: String,
 }
 
-/// The runs of all stand-ins of one process.
+/// Shared record of the runs of all stand-ins in one process.
 #[derive(Debug, Clone, Default)]
 pub struct Runs(Arc<Mutex<Vec<Run>>>);
 
@@ -34,42 +34,42 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Runs with a caller's key.
+    /// Runs with a request key.
     pub fn of_key(&self, key: &str) -> Vec<Run> {
         let runs = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         runs.iter().filter(|r| r.key == key).cloned().collect()
     }
 }
 
-/// What goes from stage to stage in the test bench: the caller's key and the tokens to generate.
+/// Data passed between stages in the test bench.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
 pub struct Passed {
-    /// The caller's own key.
+    /// Unique key of the request.
     pub key: String,
-    /// Tokens that the model is to generate.
+    /// Number of tokens that the model generates.
     #[serde(default)]
     pub tokens: usize,
-    /// The stages that have run, in order.
+    /// Stages that have run, in order.
     #[serde(default)]
     pub stages: Vec<String>,
-    /// Makes the input as long as a brief is.
+    /// Padding, to reach the size of a long brief.
     #[serde(default)]
     pub padding: String,
 }
 
 impl Passed {
-    /// Reads what a stage got; anything else has an empty key.
+    /// Parses the input of a stage; the key is empty if it is invalid.
     pub fn read(input: &[u8]) -> Self {
         serde_json::from_slice(input).unwrap_or_default()
     }
 }
 
-/// The whole answer that a caller with this key must get.
+/// Complete response that is expected for this key.
 pub fn expected_text(key: &str, tokens: usize) -> String {
     (0..tokens.max(1)).map(|i| token(key, i)).collect()
 }
 
-/// The i-th token of an answer; the same at every engine.
+/// The i-th token of a response; identical at every engine.
 pub fn token(key: &str, i: usize) -> String {
     match i {
         0 => format!("[{key}]"),
--- a/testbed/src/scenario.rs
+++ b/testbed/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Named, seeded scenarios: the same load under several policies, paired, in one run.
+//! Seeded scenarios: the same load under several policies, for paired comparisons.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -19,140 +19,140 @@
 use crate::proxy::Link;
 use crate::service::{Fault, Times};
 
-/// Why a scenario can't be run.
+/// Reason why a scenario could not be run.
 #[derive(Debug, Snafu)]
 pub enum ScenarioError {
-    /// The file can't be read.
+    /// The file could not be read.
     #[snafu(display("{path}: {source}"))]
     Read {
-        /// Which.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Underlying error.
         source: std::io::Error,
     },
-    /// The file is no scenario.
+    /// The file is not a valid scenario.
     #[snafu(display("{path}: {source}"))]
     Syntax {
-        /// Which.
+        /// Path of the file.
         path: String,
-        /// Where and why.
+        /// Underlying error.
         source: serde_json::Error,
     },
-    /// The fleet could not be started.
+    /// The fleet failed to start.
     #[snafu(display("{source}"), context(false))]
     Start {
-        /// Why.
+        /// Underlying error.
         source: FleetError,
     },
 }
 
-/// Which of the users' deployments.
+/// Deployment of a scenario.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Which {
-    /// Short guest replies.
+    /// The campsite keepers' association, with short guest replies.
     Campsites,
-    /// Long briefs.
+    /// The guild of rendering studios, with long briefs.
     Guild,
 }
 
-/// From a time on, this many requests a second.
+/// Phase of a load with a constant request rate.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct Phase {
     /// Seconds since the start.
     pub from: f64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
 }
 
-/// A kind of request.
+/// Kind of a request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
-    /// Its pipeline.
+    /// Name of the pipeline.
     pub pipeline: String,
-    /// How often, relative to the others.
+    /// Frequency relative to the other kinds.
     pub weight: f64,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub tokens: usize,
-    /// Bytes of padding of its input.
+    /// Bytes of padding in the input.
     #[serde(default)]
     pub padding: usize,
-    /// Its deadline.
+    /// Deadline in milliseconds.
     pub deadline_ms: u64,
     /// Whether stages may be run again.
     #[serde(default)]
     pub may_repeat: bool,
-    /// Its labels.
+    /// Labels of the request.
     #[serde(default)]
     pub labels: Labels,
 }
 
-/// Something that goes wrong, or is mended.
+/// A fault, or the end of a fault.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum What {
-    /// The endpoint takes this many times as long.
+    /// Multiplies the durations of the endpoint by this factor.
     Slow(u32),
-    /// The endpoint's agent dies.
+    /// Kills the agent of the endpoint.
     Dead,
-    /// The link to the endpoint's agent is frozen.
+    /// Freezes the link to the agent of the endpoint.
     Frozen,
-    /// All is well again, but for what is dead.
+    /// Ends all faults except killed agents.
     Mended,
 }
 
-/// When and where something goes wrong; all endpoints with this prefix.
+/// A scheduled fault on all endpoints with a name prefix.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Event {
     /// Seconds since the start.
     pub at: f64,
-    /// The endpoint's name, or the start of it.
+    /// Prefix of the endpoint names.
     pub endpoint: String,
-    /// What.
+    /// Fault to inject.
     pub what: What,
 }
 
-/// A scenario, as its file has it.
+/// A scenario in its file format.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name.
+    /// Name of the scenario.
     pub name: String,
-    /// The deployment.
+    /// Deployment to run.
     pub deployment: Which,
     /// Replicas of each service.
     pub services: usize,
     /// Replicas of the model.
     pub models: usize,
-    /// Data centres.
+    /// Number of data centres.
     pub data_centres: usize,
-    /// Milliseconds of a service's call.
+    /// Duration of a service call in milliseconds.
     pub service_ms: u64,
-    /// Milliseconds of an engine's step.
+    /// Duration of an engine step in milliseconds.
     pub step_ms: u64,
-    /// Streams that an engine runs at once.
+    /// Streams that an engine runs concurrently.
     pub batch: usize,
-    /// Length in seconds.
+    /// Duration in seconds.
     pub seconds: f64,
-    /// Results are counted from this second on.
+    /// Time in seconds from which results are counted.
     pub counted_from: f64,
-    /// The load.
+    /// Phases of the load.
     pub phases: Vec<Phase>,
-    /// The kinds of request.
+    /// Kinds of requests.
     pub mix: Vec<Kind>,
-    /// The share of requests that come from the large organisation.
+    /// Share of requests from the large organisation.
     pub large_share: f64,
-    /// Whether callers who were refused ask again at once, up to this often.
+    /// Number of immediate retries after a refusal.
     #[serde(default)]
     pub ask_again: usize,
-    /// What goes wrong.
+    /// Scheduled faults.
     #[serde(default)]
     pub events: Vec<Event>,
 }
 
-/// The policies that are compared: a name, and what differs in the configuration.
+/// Policies to compare, each as a name and a patch of the policy settings.
 pub fn policies() -> Vec<(&'static str, Value)> {
     use serde_json::json;
     let baseline =
@@ -167,24 +167,24 @@
     ]
 }
 
-/// One run of a scenario under one policy.
+/// Result of one run of a scenario under one policy.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Measured {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The policy.
+    /// Name of the policy.
     pub policy: String,
-    /// The round, and its seed.
+    /// Number of the round, also used as seed.
     pub round: u64,
-    /// What callers saw.
+    /// Statistics of the responses.
     pub summary: Summary,
-    /// Runs of each stage for each request answered in time.
+    /// Runs of each stage per request with a response in time.
     pub runs_per_answer: BTreeMap<String, f64>,
-    /// The share answered in time, second by second.
+    /// Share of responses in time, for each second.
     pub timeline: Vec<f64>,
 }
 
-/// Reads a scenario.
+/// Reads a scenario from a file.
 pub fn read(path: &Path) -> Result<Scenario, ScenarioError> {
     let shown = path.display().to_string();
     let text = std::fs::read_to_string(path).context(ReadSnafu { path: &shown })?;
@@ -211,7 +211,7 @@
         }
     }
 
-    /// The requests of a round: the same for every policy.
+    /// Schedules the requests of a round, identically for every policy.
     fn plan(&self, fleet: &Fleet, seed: u64) -> Vec<Planned> {
         let mut rng = rng(seed);
         let mut planned = Vec::new();
@@ -263,7 +263,7 @@
         &self.mix[self.mix.len() - 1]
     }
 
-    /// Runs one round under one policy, on a fleet of its own.
+    /// Runs one round under one policy, on a new fleet.
     pub async fn run(
         &self,
         program: &Program,
@@ -329,7 +329,7 @@
     }
 }
 
-/// Runs a scenario under the named policies, `rounds` times each in turn, and prints every line.
+/// Runs a scenario under the named policies for `rounds` alternating rounds and prints the results.
 pub async fn compare(
     program: &Program,
     path: &Path,
--- a/testbed/src/serve.rs
+++ b/testbed/src/serve.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for the stand-ins: one handler, bodies collected or streamed.
+//! A small HTTP server for the stand-ins, with buffered or streamed response bodies.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -17,22 +17,22 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio_stream::wrappers::ReceiverStream;
 
-/// A body of a stand-in's answer.
+/// Response of a stand-in.
 pub type Answer = Response<BoxBody<Bytes, Infallible>>;
 
-/// A request with its whole body.
+/// A request with its complete body.
 pub type Call = Request<Bytes>;
 
-/// Answers calls.
+/// Handler of requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one call.
+    /// Responds to one request.
     fn handle(&self, call: Call) -> impl Future<Output = Answer> + Send;
 }
 
-/// A running server; it ends when this is dropped.
+/// A running server; stopped on drop.
 #[derive(Debug)]
 pub struct Server {
-    /// Where it listens.
+    /// Address of the server.
     pub address: SocketAddr,
     task: AbortHandle,
 }
@@ -43,7 +43,7 @@
     }
 }
 
-/// Serves on `address`; port 0 lets the system choose.
+/// Serves requests on `address`; with port 0 the system selects a port.
 pub async fn serve<H: Handler>(address: SocketAddr, handler: Arc<H>) -> std::io::Result<Server> {
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
@@ -52,7 +52,7 @@
 }
 
 async fn accept<H: Handler>(listener: TcpListener, handler: Arc<H>) {
-    // Connections end with the server, as those of a process that dies.
+    // Connections are closed together with the server, like those of a killed process.
     let mut connections = JoinSet::new();
     loop {
         while connections.try_join_next().is_some() {}
@@ -78,26 +78,26 @@
     Ok(handler.handle(Request::from_parts(parts, body)).await)
 }
 
-/// An answer with a whole body.
+/// Response with a complete body.
 pub fn whole(status: StatusCode, body: impl Into<Bytes>) -> Answer {
     let mut answer = Response::new(Full::new(body.into()).boxed());
     *answer.status_mut() = status;
     answer
 }
 
-/// A JSON answer.
+/// Response with a JSON body.
 pub fn json<T: serde::Serialize>(value: &T) -> Answer {
     whole(StatusCode::OK, serde_json::to_vec(value).unwrap_or_default())
 }
 
-/// An answer whose body comes in pieces.
+/// Response with a streamed body.
 pub fn streamed(pieces: mpsc::Receiver<Bytes>) -> Answer {
     let frames = ReceiverStream::new(pieces);
     let frames = tokio_stream::StreamExt::map(frames, |piece| Ok(Frame::data(piece)));
     Response::new(BodyExt::boxed(StreamBody::new(frames)))
 }
 
-/// A header's text.
+/// Value of a header; empty if it is missing or not text.
 pub fn header<'a>(call: &'a Call, name: &str) -> &'a str {
     call.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or_default()
 }
--- a/testbed/src/service.rs
+++ b/testbed/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service: one call, one answer; it records each run, so that doubled calls show.
+//! Stand-in for a plain service. It records each run, so that duplicate calls are detected.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -11,38 +11,38 @@
 use crate::runs::{Passed, Run, Runs};
 use crate::serve::{Answer, Call, Handler, header, whole};
 
-/// How a stand-in misbehaves.
+/// Fault of a stand-in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Fault {
-    /// Not at all.
+    /// No fault.
     #[default]
     None,
-    /// It runs the call and answers with an error.
+    /// Runs the call and responds with an error.
     Fails,
-    /// It runs the call and never answers.
+    /// Runs the call and never responds.
     Stalls,
-    /// It answers in another attempt's name.
+    /// Responds with the id of another attempt.
     WrongAttempt,
-    /// It takes this many times as long.
+    /// Multiplies the duration of calls by this factor.
     Slow(u32),
 }
 
-/// What can be changed while a stand-in runs; clones share it.
+/// Current fault of a running stand-in; clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct Faults(Arc<Mutex<Fault>>);
 
 impl Faults {
-    /// From here on, this.
+    /// Sets the fault.
     pub fn set(&self, fault: Fault) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
 
-    /// What holds now.
+    /// Current fault.
     pub fn get(&self) -> Fault {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How many times as long things take.
+    /// Factor by which durations are multiplied.
     pub fn slowness(&self) -> u32 {
         match self.get() {
             Fault::Slow(times) => times,
@@ -51,14 +51,14 @@
     }
 }
 
-/// How long calls take.
+/// Durations and concurrency of calls.
 #[derive(Debug, Clone, Copy)]
 pub struct Times {
-    /// Every call.
+    /// Base duration of a call.
     pub base: Duration,
-    /// In addition for each KiB of input.
+    /// Additional duration per KiB of input.
     pub per_kib: Duration,
-    /// Calls at once; others wait.
+    /// Maximum number of concurrent calls; others wait.
     pub concurrency: usize,
 }
 
@@ -68,12 +68,12 @@
     times: Times,
     permits: Semaphore,
     runs: Runs,
-    /// How it misbehaves.
+    /// Injected fault.
     pub faults: Faults,
 }
 
 impl PlainService {
-    /// A service that records its runs in `runs`.
+    /// Creates a service that records its runs in `runs`.
     pub fn new(name: &str, times: Times, runs: Runs) -> Self {
         let permits = Semaphore::new(times.concurrency);
         Self { name: name.to_owned(), times, permits, runs, faults: Faults::default() }
--- a/testbed/src/soak.rs
+++ b/testbed/src/soak.rs
@@ -1,4 +1,5 @@
-//! A soak: real processes under load and random faults from one seed, and then the check of the history.
+//! A soak: real processes under load and random faults drawn from a seed, followed by a check of
+//! all outcomes.
 
 use std::time::Duration;
 
@@ -20,35 +21,35 @@
 use crate::proxy::Link;
 use crate::service::Fault;
 
-/// Requests a second.
+/// Requests per second.
 const RATE: f64 = 30.0;
-/// Between two faults, at most.
+/// Maximum time between two faults, in milliseconds.
 const FAULT_EVERY_MS: u64 = 1_500;
-/// What lasts is mended after this time, at most.
+/// Maximum duration of a fault, in milliseconds.
 const LASTS_MS: u64 = 3_000;
-/// After the load, what is still on its way may end.
+/// Time after the load for requests in flight.
 const SETTLE: Duration = Duration::from_secs(5);
 
-/// Why a soak failed.
+/// Reason why a soak failed.
 #[derive(Debug, Snafu)]
 pub enum SoakError {
-    /// The fleet could not be started.
+    /// The fleet failed to start.
     #[snafu(display("{source}"), context(false))]
     Start {
-        /// Why.
+        /// Underlying error.
         source: FleetError,
     },
-    /// Promises were broken.
-    #[snafu(display("{} promises broken: {breaches:?}, {violations} invariants", breaches.len()))]
+    /// Guarantees or invariants were violated.
+    #[snafu(display("{} guarantees violated: {breaches:?}, {violations} invariants violated", breaches.len()))]
     Broken {
-        /// Which.
+        /// Violated guarantees.
         breaches: Vec<Breach>,
-        /// Invariants that processes counted as violated.
+        /// Number of invariant violations that processes counted.
         violations: f64,
     },
 }
 
-/// Runs a soak and prints what came of it; fails where a promise was broken.
+/// Runs a soak and prints its result. Fails if a guarantee was violated.
 pub async fn run(program: &Program, seconds: f64, seed: u64) -> Result<(), SoakError> {
     let sizes = Sizes { service: 3, model: 3, data_centres: 2 };
     let deployment = campsites(sizes, SERVICE_TIMES, Speed::default());
@@ -169,7 +170,7 @@
     let requests: Vec<_> = outcomes.iter().map(|o| request(fleet, o)).collect();
     let runs = fleet.runs.all();
     let mut breaches = check(&requests, &runs);
-    // The load tool lets go of requests whose answers never came; they were sent all the same.
+    // The load generator drops requests without a response, although they were sent.
     breaches.retain(|b| !matches!(b, Breach::Stranger { .. }));
     let mut violations = 0.0;
     for process in fleet.processes() {
--- a/testbed/tests/history.rs
+++ b/testbed/tests/history.rs
@@ -1,4 +1,4 @@
-//! The checker finds a history that breaks a promise, and only such a one.
+//! The checker reports violated guarantees, and only those.
 
 use stackmast_testbed::history::{Breach, Request, SaidRan, Seen, check};
 use stackmast_testbed::runs::Run;
@@ -29,23 +29,23 @@
     Seen::Refused { ran, stages_run: stages.iter().map(|s| (*s).to_owned()).collect() }
 }
 
-#[test_case(Seen::Whole("answer".to_owned()), &["a", "b"]; "a whole answer")]
-#[test_case(refused(SaidRan::NotRun, &[]), &[]; "a true not run")]
-#[test_case(refused(SaidRan::InPart, &["a"]), &["a"]; "a true ran in part")]
+#[test_case(Seen::Whole("answer".to_owned()), &["a", "b"]; "a complete response")]
+#[test_case(refused(SaidRan::NotRun, &[]), &[]; "correctly reported as not run")]
+#[test_case(refused(SaidRan::InPart, &["a"]), &["a"]; "correctly reported as run in part")]
 #[test_case(refused(SaidRan::Unknown, &[]), &["a", "b"]; "unknown, and it ran")]
 #[test_case(refused(SaidRan::Unknown, &[]), &[]; "unknown, and it did not run")]
-#[test_case(Seen::Nothing, &["a"]; "nothing seen")]
+#[test_case(Seen::Nothing, &["a"]; "no response observed")]
 fn good(seen: Seen, ran: &[&str]) {
     assert_eq!(check(&[request(seen)], &runs(ran)), []);
 }
 
-#[test_case(Seen::Whole("other".to_owned()), &["a", "b"] => matches Breach::WrongAnswer { .. }; "an answer to another request")]
-#[test_case(Seen::Whole("answ".to_owned()), &["a", "b"] => matches Breach::WrongAnswer { .. }; "a shortened answer")]
+#[test_case(Seen::Whole("other".to_owned()), &["a", "b"] => matches Breach::WrongAnswer { .. }; "a response to another request")]
+#[test_case(Seen::Whole("answ".to_owned()), &["a", "b"] => matches Breach::WrongAnswer { .. }; "a truncated response")]
 #[test_case(Seen::Whole("answer".to_owned()), &["b"] => matches Breach::NeverRan { .. }; "a stage that never ran")]
-#[test_case(refused(SaidRan::NotRun, &[]), &["a"] => matches Breach::FalseNotRun { .. }; "a false not run")]
-#[test_case(refused(SaidRan::InPart, &["a"]), &["a", "b"] => matches Breach::FalseInPart { .. }; "more ran than was said")]
-#[test_case(refused(SaidRan::InPart, &["a"]), &[] => matches Breach::FalseInPart { .. }; "less ran than was said")]
-#[test_case(Seen::Nothing, &["a", "a"] => matches Breach::RanTwice { .. }; "a doubled run")]
+#[test_case(refused(SaidRan::NotRun, &[]), &["a"] => matches Breach::FalseNotRun { .. }; "falsely reported as not run")]
+#[test_case(refused(SaidRan::InPart, &["a"]), &["a", "b"] => matches Breach::FalseInPart { .. }; "more ran than was reported")]
+#[test_case(refused(SaidRan::InPart, &["a"]), &[] => matches Breach::FalseInPart { .. }; "less ran than was reported")]
+#[test_case(Seen::Nothing, &["a", "a"] => matches Breach::RanTwice { .. }; "a duplicate run")]
 fn bad(seen: Seen, ran: &[&str]) -> Breach {
     let breaches = check(&[request(seen)], &runs(ran));
     assert_eq!(breaches.len(), 1, "{breaches:?}");
@@ -53,13 +53,13 @@
 }
 
 #[test]
-fn a_run_that_nobody_sent_is_found() {
+fn run_without_a_sent_request_is_reported() {
     let breaches = check(&[], &runs(&["a"]));
     assert_eq!(breaches, [Breach::Stranger { key: "k".to_owned() }]);
 }
 
 #[test]
-fn a_repeat_is_fine_where_request_and_stage_allow_it() {
+fn repeat_is_valid_if_request_and_stage_allow_it() {
     let mut request = request(Seen::Whole("answer".to_owned()));
     request.may_repeat = true;
     assert_eq!(check(&[request], &runs(&["a", "a", "b"])), []);
