--- a/tests/direct_backoff.rs
+++ b/tests/direct_backoff.rs
@@ -6,8 +6,9 @@
 use std::time::Duration;
 
 use directenv::gateway::{answered, calls, configured, good, incoming, refusal, submit};
-use directenv::said::{
-    LEAVES, SECONDS, engine, enter, gets_any, goes_to, hear, living, pause_for, routes, says, told,
+use directenv::status_headers::{
+    LEAVING, SECONDS, chosen_endpoint, engine, enter, is_chosen, pause_for, receive_departures,
+    receive_status, routes, sent_departures, with_incarnation,
 };
 use directenv::{address, ms};
 use stackmast::actor::Core;
@@ -21,18 +22,19 @@
 #[test]
 fn a_pause_lasts_as_announced_and_is_not_sent_to_other_gateways() {
     let mut core = configured(routes());
-    hear(&mut core, Vec::new(), 5);
-    let actions = says(&mut core, &engine(1), pause_for(ms(3 * SECONDS)), 10);
+    receive_departures(&mut core, Vec::new(), 5);
+    let actions = receive_status(&mut core, &engine(1), pause_for(ms(3 * SECONDS)), 10);
     let is_told = |a: &Action| {
         let paused = |ms: u64| (3_000..=3_750).contains(&ms);
         matches!(a, Action::Log(LogEvent::EndpointStatus { paused_ms: Some(ms), .. }) if paused(*ms))
     };
     assert!(actions.iter().any(is_told));
     for at in [20, 1_000, 3_009] {
-        assert!(!gets_any(&mut core, "engine-1", at * 100, at));
+        assert!(!is_chosen(&mut core, "engine-1", at * 100, at));
     }
-    assert!(gets_any(&mut core, "engine-1", 900_000, 3_761));
-    let beats = (1..8).map(|beat| told(&core.handle(Event::Tick, ms(4_000 + beat * 250))).len());
+    assert!(is_chosen(&mut core, "engine-1", 900_000, 3_761));
+    let beats =
+        (1..8).map(|beat| sent_departures(&core.handle(Event::Tick, ms(4_000 + beat * 250))).len());
     assert_eq!(beats.sum::<usize>(), 0);
 }
 
@@ -41,21 +43,21 @@
     let mut core = configured(routes());
     let actions = submit(&mut core, 1, incoming("r", Vec::new()), ms(0));
     let (attempt, params) = calls(&actions)[0].clone();
-    says(&mut core, &params.endpoint, pause_for(ms(3 * SECONDS)), 10);
-    says(&mut core, &params.endpoint, pause_for(ms(100)), 20);
-    says(&mut core, &params.endpoint, pause_for(Duration::ZERO), 30);
+    receive_status(&mut core, &params.endpoint, pause_for(ms(3 * SECONDS)), 10);
+    receive_status(&mut core, &params.endpoint, pause_for(ms(100)), 20);
+    receive_status(&mut core, &params.endpoint, pause_for(Duration::ZERO), 30);
     core.handle(answered(attempt, good()), ms(40));
-    assert!(!gets_any(&mut core, &params.endpoint.id, 100, 2_900));
+    assert!(!is_chosen(&mut core, &params.endpoint.id, 100, 2_900));
 }
 
 #[test]
 fn a_new_incarnation_is_not_paused() {
     let mut core = configured(routes());
-    enter(&mut core, &living("engine", 1, 7), 50, 5);
-    says(&mut core, &living("engine", 1, 7), pause_for(ms(9 * SECONDS)), 10);
-    assert!(!gets_any(&mut core, "engine-1", 100, 20));
-    enter(&mut core, &living("engine", 1, 9), 51, 30);
-    assert!(gets_any(&mut core, "engine-1", 200, 40));
+    enter(&mut core, &with_incarnation("engine", 1, 7), 50, 5);
+    receive_status(&mut core, &with_incarnation("engine", 1, 7), pause_for(ms(9 * SECONDS)), 10);
+    assert!(!is_chosen(&mut core, "engine-1", 100, 20));
+    enter(&mut core, &with_incarnation("engine", 1, 9), 51, 30);
+    assert!(is_chosen(&mut core, "engine-1", 200, 40));
 }
 
 #[test_case(Backoff::For(Duration::ZERO), 0, 0; "none")]
@@ -80,15 +82,15 @@
     // The core handles the event a second after the answer was read.
     let event = Event::EndpointStatus { endpoint, asked, statement, sent: ms(90), at: ms(100) };
     core.handle(event, ms(1_100));
-    assert!(!gets_any(&mut core, "engine-1", 100, 2_099));
-    assert!(gets_any(&mut core, "engine-1", 200, 2_601));
+    assert!(!is_chosen(&mut core, "engine-1", 100, 2_099));
+    assert!(is_chosen(&mut core, "engine-1", 200, 2_601));
 }
 
 #[test]
 fn when_all_endpoints_pause_requests_are_refused_with_the_end_of_the_pause() {
     let mut core = configured(routes());
-    says(&mut core, &engine(1), pause_for(ms(8 * SECONDS)), 0);
-    says(&mut core, &engine(2), pause_for(ms(4 * SECONDS)), 0);
+    receive_status(&mut core, &engine(1), pause_for(ms(8 * SECONDS)), 0);
+    receive_status(&mut core, &engine(2), pause_for(ms(4 * SECONDS)), 0);
     for caller in 1..=50 {
         let at = 100 + caller * 50;
         let actions = submit(&mut core, caller, incoming("r", Vec::new()), ms(at));
@@ -106,7 +108,7 @@
     for caller in 1..=2 {
         let actions = submit(&mut core, caller, incoming("r", Vec::new()), ms(0));
         let (attempt, params) = calls(&actions)[0].clone();
-        says(&mut core, &params.endpoint, pause_for(ms(3 * SECONDS)), 1);
+        receive_status(&mut core, &params.endpoint, pause_for(ms(3 * SECONDS)), 1);
         core.handle(Event::Answered { caller, attempt, proof: good(), is_open: false }, ms(1));
     }
     let mut press = |first: u64, at: u64| {
@@ -132,48 +134,48 @@
     };
     assert_eq!(press(100, 4_000), 2, "one each");
     assert_eq!(press(200, 4_020), 4, "then two");
-    assert!(press(300, 4_040) >= 40, "then as ever: they run four at once");
+    assert!(press(300, 4_040) >= 40, "then unlimited: endpoints run four at once");
 }
 
 #[test]
 fn answers_to_calls_before_a_pause_do_not_raise_the_load_after_it() {
     let mut core = configured(routes());
-    says(&mut core, &engine(2), LEAVES, 0);
+    receive_status(&mut core, &engine(2), LEAVING, 0);
     let mut before = Vec::new();
     for caller in 1..=3 {
         let actions = submit(&mut core, caller, incoming("r", Vec::new()), ms(0));
         before.push((caller, calls(&actions)[0].0));
     }
-    says(&mut core, &engine(1), pause_for(ms(SECONDS)), 1);
-    assert_eq!(goes_to(&mut core, 10, 1_300).as_deref(), Some("engine-1"), "the first");
+    receive_status(&mut core, &engine(1), pause_for(ms(SECONDS)), 1);
+    assert_eq!(chosen_endpoint(&mut core, 10, 1_300).as_deref(), Some("engine-1"), "the first");
     for (caller, attempt) in before {
         let answered = Event::Answered { caller, attempt, proof: good(), is_open: false };
         core.handle(answered, ms(1_310));
     }
-    assert_eq!(goes_to(&mut core, 11, 1_320), None, "until the first is answered");
+    assert_eq!(chosen_endpoint(&mut core, 11, 1_320), None, "until the first is answered");
 }
 
 #[test]
 fn a_refusal_of_the_first_request_after_a_pause_starts_the_next_pause() {
     let mut core = configured(routes());
-    says(&mut core, &engine(2), LEAVES, 0);
+    receive_status(&mut core, &engine(2), LEAVING, 0);
     for round in 0..3 {
         let at = round * 5 * SECONDS;
         let caller = 10 * round + 1;
         let actions = submit(&mut core, caller, incoming("r", Vec::new()), ms(at));
         let (attempt, params) = calls(&actions)[0].clone();
-        says(&mut core, &params.endpoint, pause_for(ms(3 * SECONDS)), at + 2);
+        receive_status(&mut core, &params.endpoint, pause_for(ms(3 * SECONDS)), at + 2);
         let proof = AnswerProof { status: 503, not_run: true, ..AnswerProof::default() };
         let refused =
             core.handle(Event::Answered { caller, attempt, proof, is_open: false }, ms(at + 2));
-        let refusal = refusal(&refused).expect("there is no other");
+        let refusal = refusal(&refused).expect("there is no other endpoint");
         assert!(refusal.not_run && refusal.retry_after >= ms(3 * SECONDS));
-        assert_eq!(goes_to(&mut core, caller + 1, at + 2_900), None);
+        assert_eq!(chosen_endpoint(&mut core, caller + 1, at + 2_900), None);
     }
 }
 
-#[test_case("r", false; "a request that may run again")]
-#[test_case("again", true; "a stream that goes on elsewhere")]
+#[test_case("r", false; "an idempotent request")]
+#[test_case("again", true; "a stream that is resumed elsewhere")]
 fn repeats_and_resumed_streams_avoid_paused_endpoints(name: &str, streams: bool) {
     let mut core = configured(routes());
     let actions = submit(&mut core, 1, incoming(name, Vec::new()), ms(0));
@@ -181,18 +183,18 @@
     let other = if &*params.endpoint.id == "engine-1" { engine(2) } else { engine(1) };
     let failed = if streams {
         core.handle(Event::Answered { caller: 1, attempt, proof: good(), is_open: true }, ms(5));
-        says(&mut core, &other, LEAVES, 10);
+        receive_status(&mut core, &other, LEAVING, 10);
         let last_event = Some("3".to_owned());
         core.handle(
             Event::StreamEnded { caller: 1, attempt, is_complete: false, last_event },
             ms(20),
         )
     } else {
-        says(&mut core, &other, pause_for(ms(3 * SECONDS)), 10);
+        receive_status(&mut core, &other, pause_for(ms(3 * SECONDS)), 10);
         let failure = CallFailure::Broken;
         core.handle(Event::CallFailed { caller: 1, attempt, failure }, ms(20))
     };
-    assert!(calls(&failed).is_empty(), "there is no other");
+    assert!(calls(&failed).is_empty(), "there is no other endpoint");
     let is_over = |a: &Action| matches!(a, Action::AbortStream { .. } | Action::Refuse { .. });
     assert!(failed.iter().any(is_over));
 }
@@ -202,7 +204,7 @@
     let mut core = configured(routes());
     let actions = submit(&mut core, 1, incoming("r", Vec::new()), ms(0));
     let (attempt, params) = calls(&actions)[0].clone();
-    let actions = says(&mut core, &params.endpoint, pause_for(ms(SECONDS)), 10);
+    let actions = receive_status(&mut core, &params.endpoint, pause_for(ms(SECONDS)), 10);
     let withheld = |a: &Action| matches!(a, Action::BlockSends { until: Some(_), .. });
     assert!(actions.iter().any(withheld));
     let failure = CallFailure::Withheld;
@@ -217,7 +219,7 @@
     let mut core = configured(routes());
     let actions = submit(&mut core, 1, incoming("r", Vec::new()), ms(0));
     let (attempt, params) = calls(&actions)[0].clone();
-    says(&mut core, &params.endpoint, pause_for(ms(SECONDS)), 5);
+    receive_status(&mut core, &params.endpoint, pause_for(ms(SECONDS)), 5);
     let failure = CallFailure::Broken;
     let mut during = core.handle(Event::CallFailed { caller: 1, attempt, failure }, ms(10));
     during.extend((1..50).flat_map(|n| core.handle(Event::Tick, ms(10 + n * 20))));
@@ -235,5 +237,5 @@
         known.record(&engine(1), Backoff::For(ms(4 * SECONDS)), ms(0))
     };
     let all: std::collections::BTreeSet<_> = (1..=100).filter_map(ends).collect();
-    assert!(all.len() > 90, "gateways come back apart");
+    assert!(all.len() > 90, "gateways resume at different times");
 }
--- a/tests/direct_bulk.rs
+++ b/tests/direct_bulk.rs
@@ -116,7 +116,10 @@
     let mut stalled = hello(at, true).await;
     stalled.write_u32(16_000).await.expect("a length");
     stalled.write_all(b"{").await.expect("a part of a chunk");
-    assert!(closed(&mut stalled, Duration::from_secs(3)).await.is_some(), "stalled for ever");
+    assert!(
+        closed(&mut stalled, Duration::from_secs(3)).await.is_some(),
+        "the stalled transfer is still open"
+    );
     sender().send(at, configuration(2));
     assert!(has(&core, 2).await);
 }
@@ -130,7 +133,7 @@
     sender().send(at, configuration(2));
     assert!(has(&core, 2).await);
     let took = closed(&mut older, Duration::from_secs(1)).await;
-    assert!(took.is_some(), "the older goes on");
+    assert!(took.is_some(), "the older transfer is still open");
 }
 
 #[tokio::test]
--- a/tests/direct_cells.rs
+++ b/tests/direct_cells.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use directenv::gateway::{configured, hear_of, incoming, refusal, serving, submit};
+use directenv::gateway::{configured, incoming, receive_gossip, refusal, serving, submit};
 use directenv::{address, batch, deployment, endpoint, job, job_id, ms, position, route};
 use stackmast::actor::Core;
 use stackmast::direct::answers::{BatchOutcome, PieceOutcome};
@@ -57,8 +57,8 @@
 
 #[test_case(&[5, 4, 4], &["stages"]; "a small fleet has one owner")]
 #[test_case(&[10, 10, 10], &["stages/dc-0", "stages/dc-1", "stages/dc-2"]; "a large one has one in each data centre")]
-#[test_case(&[1, 15, 15], &["stages/dc-0", "stages/dc-2"]; "where endpoints are few, neighbours are one cell")]
-#[test_case(&[15, 15, 1], &["stages/dc-0", "stages/dc-1"]; "also at the end")]
+#[test_case(&[1, 15, 15], &["stages/dc-0", "stages/dc-2"]; "neighbours with few endpoints share a cell")]
+#[test_case(&[15, 15, 1], &["stages/dc-0", "stages/dc-1"]; "also the last data centres")]
 fn cells_follow_the_data_centres_of_large_fleets(counts: &[usize], expected: &[&str]) {
     assert_eq!(names(&table(counts)), expected);
 }
@@ -169,7 +169,7 @@
 }
 
 /// A gateway in a fleet of three cells that are all owned by other gateways.
-fn before_cells() -> GatewayCore {
+fn gateway_with_cells() -> GatewayCore {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10), ("second", &[0], 10)]);
     let mut core = configured(vec![route]);
     let documents: Vec<Revised> = fleet(&[10, 10, 10])
@@ -182,7 +182,7 @@
         .collect();
     core.handle(Event::Published { documents, snapshot_at: None }, ms(0));
     let strong = (2..=9).map(|port| Member { capacity: 9_000, ..serving(port) }).collect();
-    hear_of(&mut core, strong, ms(0));
+    receive_gossip(&mut core, strong, ms(0));
     core
 }
 
@@ -202,14 +202,14 @@
 
 #[test]
 fn a_job_refused_by_its_cell_is_submitted_to_one_other_cell() {
-    let mut core = before_cells();
+    let mut core = gateway_with_cells();
     let actions = submit(&mut core, 1, incoming("r", vec![1, 1]), ms(10));
     let (owner, first) = submitted(&actions)[0].clone();
     let actions = refuse(&mut core, owner, &first, 12);
     assert!(refusal(&actions).is_none());
     let (other, second) = submitted(&actions)[0].clone();
     assert_ne!((owner, first.cell), (other, second.cell.clone()));
-    assert!(!second.resubmitted, "nothing of it was begun");
+    assert!(!second.resubmitted, "no stage was started");
     let actions = refuse(&mut core, other, &second, 14);
     assert!(submitted(&actions).is_empty());
     assert!(refusal(&actions).is_some_and(|r| r.not_run), "two cells refused");
@@ -217,7 +217,7 @@
 
 #[test]
 fn when_all_cells_have_just_refused_the_caller_is_refused_at_once() {
-    let mut core = before_cells();
+    let mut core = gateway_with_cells();
     for caller in 1..=40 {
         let actions = submit(&mut core, caller, incoming("r", vec![1, 1]), ms(10));
         let (owner, job) = submitted(&actions)[0].clone();
--- a/tests/direct_cold.rs
+++ b/tests/direct_cold.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use directenv::gateway::{
-    calls, good, hear_of, incoming, listed, new_core, refusal, serving, submit,
+    calls, good, incoming, listed, new_core, receive_gossip, refusal, serving, submit,
 };
 use directenv::{address, deployment, endpoint, ms, position, route};
 use stackmast::actor::Core;
@@ -24,7 +24,7 @@
 use stackmast::direct::published::table::Table;
 use test_case::test_case;
 
-const BEARS: ColdStart = ColdStart { per_second: 10.0, duration: Duration::from_secs(3) };
+const COLD_LIMIT: ColdStart = ColdStart { per_second: 10.0, duration: Duration::from_secs(3) };
 
 fn table() -> Table {
     Table::new(Arc::new(deployment(1, Vec::new())), [].into_iter())
@@ -46,7 +46,10 @@
         let learns = 5_000 + u64::from(gateway) * spread_ms / u64::from(gateways);
         known.apply_changes(&table, std::slice::from_ref(&endpoint), ms(learns));
         for at in learns..8_000 {
-            if known.available_at(&endpoint, Some(BEARS), usize::from(gateways), ms(at)).is_none() {
+            if known
+                .available_at(&endpoint, Some(COLD_LIMIT), usize::from(gateways), ms(at))
+                .is_none()
+            {
                 known.record_sent(&endpoint, 1, ms(at));
                 sent.push(ms(at));
             }
@@ -84,7 +87,8 @@
         let mut known = ColdEndpoints::new(address(gateway));
         known.apply_changes(&table, &[], ms(0));
         known.apply_changes(&table, std::slice::from_ref(&endpoint), ms(5_000));
-        let opens = known.available_at(&endpoint, Some(BEARS), usize::from(gateways), ms(7_500));
+        let opens =
+            known.available_at(&endpoint, Some(COLD_LIMIT), usize::from(gateways), ms(7_500));
         sent += usize::from(opens.is_none());
     }
     assert!(sent <= 8, "{sent} of {gateways} at once after two and a half seconds");
@@ -97,9 +101,9 @@
     // The entry may arrive before the configuration.
     known.apply_changes(&Table::default(), std::slice::from_ref(&endpoint), ms(10));
     known.apply_changes(&table, &[], ms(20));
-    assert!(known.available_at(&endpoint, Some(BEARS), 1, ms(1_500)).is_some());
+    assert!(known.available_at(&endpoint, Some(COLD_LIMIT), 1, ms(1_500)).is_some());
     assert!(
-        known.available_at(&endpoint, Some(BEARS), 1, ms(1_800)).is_none(),
+        known.available_at(&endpoint, Some(COLD_LIMIT), 1, ms(1_800)).is_none(),
         "once it has gathered"
     );
 }
@@ -108,7 +112,7 @@
 fn core(engines: &[Arc<Endpoint>]) -> GatewayCore {
     let mut deployment = deployment(1, vec![route("r", Repeat::Idempotent, &[])]);
     for pool in deployment.pools.iter_mut().filter(|p| &*p.name == "engine") {
-        pool.cold = Some(BEARS);
+        pool.cold = Some(COLD_LIMIT);
     }
     let mut core = new_core();
     let document = Document::Deployment(Arc::new(deployment));
@@ -116,7 +120,7 @@
     core.handle(Event::Published { documents, snapshot_at: None }, ms(0));
     let documents = listed(&[cold(1, 0), cold(2, 0)], 2);
     core.handle(Event::Published { documents, snapshot_at: Some(position(2)) }, ms(0));
-    hear_of(&mut core, (2..=21).map(serving).collect(), ms(9_900));
+    receive_gossip(&mut core, (2..=21).map(serving).collect(), ms(9_900));
     let documents = listed(engines, 3);
     core.handle(Event::Published { documents, snapshot_at: None }, ms(10_000));
     core
--- a/tests/direct_come_back.rs
+++ b/tests/direct_come_back.rs
@@ -17,7 +17,7 @@
 /// Time from the end of a process until its successor serves.
 const RESTART: Duration = Duration::from_millis(1_200);
 /// Shortest retry time.
-const LEAST: Duration = Duration::from_millis(100);
+const MIN_RETRY: Duration = Duration::from_millis(100);
 
 /// State of another gateway, with the time of its last change in milliseconds after the signal.
 #[derive(Debug, Clone, Copy)]
@@ -51,25 +51,25 @@
     members
 }
 
-fn come_back(others: &[Other], now: i64) -> Duration {
+fn retry_time(others: &[Other], now: i64) -> Duration {
     retry_after(&Stop::new(SIGNAL, GRACE), &members(others), at(now))
 }
 
-#[test_case(&[], 0, 4_600; "alone: when it is back itself")]
+#[test_case(&[], 0, 4_600; "alone: when the process serves again itself")]
 #[test_case(&[], 1_000, 3_600; "alone, a second later")]
-#[test_case(&[], 6_000, 1_200; "alone, and held up")]
+#[test_case(&[], 6_000, 1_200; "alone, and delayed")]
 #[test_case(&[Other::Serving(-5_000)], 1_000, 100; "another one serves")]
-#[test_case(&[Other::Serving(700)], 1_000, 700; "another one serves, which no balancer has seen")]
+#[test_case(&[Other::Serving(700)], 1_000, 700; "another one serves, not yet seen by a balancer")]
 #[test_case(&[Other::Starting(500)], 1_000, 1_000; "another one starts")]
-#[test_case(&[Other::Leaving(500)], 1_000, 3_600; "another one was told later")]
-#[test_case(&[Other::Leaving(-1_000)], 1_000, 2_600; "another one was told before")]
-#[test_case(&[Other::Leaving(-1_000), Other::Leaving(-2_000), Other::Leaving(800)], 1_000, 1_600; "all leave: the first that is back")]
-#[test_case(&[Other::Leaving(-6_000)], 1_000, 1_200; "another one is held up and may end now")]
+#[test_case(&[Other::Leaving(500)], 1_000, 3_600; "another one was signalled later")]
+#[test_case(&[Other::Leaving(-1_000)], 1_000, 2_600; "another one was signalled before")]
+#[test_case(&[Other::Leaving(-1_000), Other::Leaving(-2_000), Other::Leaving(800)], 1_000, 1_600; "all leave: when the first serves again")]
+#[test_case(&[Other::Leaving(-6_000)], 1_000, 1_200; "another one is delayed and may end now")]
 #[test_case(&[Other::Dead(500)], 1_000, 700; "another one has just ended")]
 #[test_case(&[Other::Leaving(-1_000), Other::Dead(900)], 1_000, 1_100; "one ended and one leaves")]
 #[test_case(&[Other::Leaving(-1_000), Other::Serving(-5_000)], 1_000, 100; "one leaves and one serves")]
 fn callers_retry_when_a_gateway_is_expected_to_serve(others: &[Other], now: i64, expected: u64) {
-    assert_eq!(come_back(others, now), ms(expected));
+    assert_eq!(retry_time(others, now), ms(expected));
 }
 
 // A host that failed long before the stop doesn't show that a gateway serves again soon.
@@ -85,7 +85,7 @@
     members.merge(&[member], lost);
     members.mark_unreachable(address(2), 5, lost);
     let after = retry_after(&Stop::new(signal, GRACE), &members, signal + ms(1_000));
-    assert!(after >= RESTART, "{after:?}, where nobody serves for the next {:?}", ms(3_600));
+    assert!(after >= RESTART, "{after:?}, while no gateway serves for the next {:?}", ms(3_600));
 }
 
 fn any_other(rng: &mut StdRng) -> Other {
@@ -104,10 +104,13 @@
     for _ in 0..5_000 {
         let others: Vec<Other> = (0..rng.random_range(0..6)).map(|_| any_other(&mut rng)).collect();
         let now = rng.random_range(0..8_000);
-        let after = come_back(&others, now);
+        let after = retry_time(&others, now);
         let own = MIN_DURATION.saturating_sub(ms(now as u64)) + RESTART;
-        assert!((LEAST..=own).contains(&after), "{after:?} at {now} with {others:?}");
-        assert!(come_back(&[], now) >= after, "one more gateway makes nobody wait for longer");
+        assert!((MIN_RETRY..=own).contains(&after), "{after:?} at {now} with {others:?}");
+        assert!(
+            retry_time(&[], now) >= after,
+            "one more gateway does not make the retry time longer"
+        );
     }
 }
 
@@ -118,6 +121,6 @@
         let now = rng.random_range(0..8_000);
         let leaving = |_| Other::Leaving(rng.random_range(-8_000..=now));
         let others: Vec<Other> = (0..4).map(leaving).collect();
-        assert!(come_back(&others, now) >= RESTART, "at {now} with {others:?}");
+        assert!(retry_time(&others, now) >= RESTART, "at {now} with {others:?}");
     }
 }
--- a/tests/direct_eras.rs
+++ b/tests/direct_eras.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use directenv::gateway::{Says, new_core, serving, setup};
+use directenv::gateway::{Heartbeat, new_core, serving, setup};
 use directenv::{address, deployment, endpoint, endpoints, ms, route};
 use stackmast::actor::Core;
 use stackmast::direct::core::{GatewayCore, Setup};
@@ -37,7 +37,7 @@
 }
 
 /// The first endpoint, in the given incarnation.
-fn living(incarnation: u64, leaving: bool) -> Arc<Endpoint> {
+fn first_endpoint(incarnation: u64, leaving: bool) -> Arc<Endpoint> {
     Arc::new(Endpoint { incarnation, leaving, ..(*endpoint("engine", 1)).clone() })
 }
 
@@ -48,7 +48,7 @@
 /// A list of the earlier era: the first endpoint, created at revision 10 and changed at 80.
 fn listed(incarnation: u64, leaving: bool) -> Documents {
     let mut documents = Documents::default();
-    let entry = entry(living(incarnation, leaving), before(80), 10);
+    let entry = entry(first_endpoint(incarnation, leaving), before(80), 10);
     documents.merge_list(vec![entry], before(90), ms(0));
     documents
 }
@@ -86,22 +86,25 @@
 #[test]
 fn late_documents_of_an_earlier_era_are_ignored() {
     let mut documents = listed(1, false);
-    documents.merge_list(vec![entry(living(1, true), after(20), 10)], after(20), ms(10));
-    let late =
-        documents.merge_list(vec![entry(living(1, false), before(95), 10)], before(99), ms(20));
+    documents.merge_list(vec![entry(first_endpoint(1, true), after(20), 10)], after(20), ms(10));
+    let late = documents.merge_list(
+        vec![entry(first_endpoint(1, false), before(95), 10)],
+        before(99),
+        ms(20),
+    );
     assert!(late.is_empty());
     assert!(documents.merge(vec![gone(before(100))], ms(30)).is_empty());
     assert_eq!(entry_state(&documents), EntryState::Leaving);
 }
 
-#[test_case(1, 1; "the life that left goes on leaving")]
-#[test_case(2, 0; "another life is believed")]
+#[test_case(1, 1; "the incarnation that left is still leaving")]
+#[test_case(2, 0; "another incarnation is valid")]
 fn a_restored_entry_does_not_end_the_departure_of_its_incarnation(
     incarnation: u64,
     leaving_on: usize,
 ) {
     let mut documents = listed(1, true);
-    let copied = entry(living(incarnation, false), after(30), 10);
+    let copied = entry(first_endpoint(incarnation, false), after(30), 10);
     let merged = documents.merge_list(vec![copied], after(40), ms(10));
     assert_eq!(merged.departed.len(), leaving_on);
 }
@@ -110,16 +113,16 @@
 fn an_endpoint_removed_while_leaving_is_still_leaving_when_restored() {
     let mut documents = listed(1, true);
     documents.merge(vec![gone(before(95))], ms(5));
-    let copied = entry(living(1, false), after(30), 10);
+    let copied = entry(first_endpoint(1, false), after(30), 10);
     let merged = documents.merge_list(vec![copied], after(40), ms(10));
     assert_eq!(merged.departed.len(), 1);
 }
 
-#[test_case(1, 80, 10, false; "as it stood before it was gone")]
-#[test_case(1, 40, 10, false; "as it stood earlier")]
+#[test_case(1, 80, 10, false; "as before its removal")]
+#[test_case(1, 40, 10, false; "an earlier state")]
 #[test_case(1, 120, 10, true; "written again")]
 #[test_case(1, 41, 41, true; "created anew")]
-#[test_case(2, 41, 10, true; "in another life")]
+#[test_case(2, 41, 10, true; "in another incarnation")]
 fn a_removed_entry_that_a_copy_restores_is_valid_once_written_again(
     incarnation: u64,
     revision: u64,
@@ -128,21 +131,25 @@
 ) {
     let mut documents = listed(1, false);
     documents.merge(vec![gone(before(95))], ms(5));
-    let copied = entry(living(incarnation, false), after(revision), made);
+    let copied = entry(first_endpoint(incarnation, false), after(revision), made);
     let merged = documents.merge_list(vec![copied], after(130), ms(10));
     assert_eq!(merged.unconfirmed.is_empty(), is_believed);
     assert_eq!(entry_state(&documents) == EntryState::Listed, is_believed);
     documents.expire(ms(4_900));
     assert_eq!(entry_state(&documents) == EntryState::Listed, is_believed);
     documents.expire(ms(5_010));
-    assert_eq!(entry_state(&documents), EntryState::Listed, "it is renewed, or it would be gone");
+    assert_eq!(
+        entry_state(&documents),
+        EntryState::Listed,
+        "a listed entry is renewed, or it would be removed"
+    );
 }
 
 #[test]
 fn a_restored_entry_is_removed_when_it_is_deleted_again() {
     let mut documents = listed(1, false);
     documents.merge(vec![gone(before(95))], ms(5));
-    documents.merge_list(vec![entry(living(1, false), after(80), 10)], after(85), ms(10));
+    documents.merge_list(vec![entry(first_endpoint(1, false), after(80), 10)], after(85), ms(10));
     documents.merge(vec![gone(after(90))], ms(3_000));
     documents.expire(ms(6_000));
     assert_eq!(entry_state(&documents), EntryState::Removed);
@@ -152,25 +159,25 @@
 fn a_restored_entry_missing_from_a_later_list_is_removed() {
     let mut documents = listed(1, false);
     documents.merge(vec![gone(before(95))], ms(5));
-    documents.merge_list(vec![entry(living(1, false), after(80), 10)], after(85), ms(10));
+    documents.merge_list(vec![entry(first_endpoint(1, false), after(80), 10)], after(85), ms(10));
     documents.merge_list(Vec::new(), after(90), ms(3_000));
     documents.expire(ms(6_000));
     assert_eq!(entry_state(&documents), EntryState::Removed);
 }
 
-#[test_case(10, EntryState::Removed; "the copy had it, so it was taken away since")]
-#[test_case(60, EntryState::Expired; "it was created after the copy")]
-#[test_case(0, EntryState::Expired; "nobody knows when it was created")]
+#[test_case(10, EntryState::Removed; "created before the copy, so it was removed since")]
+#[test_case(60, EntryState::Expired; "created after the copy")]
+#[test_case(0, EntryState::Expired; "creation unknown")]
 fn an_entry_missing_from_the_copy_is_used_until_its_renewal_is_due(made: u64, state: EntryState) {
     let mut documents = Documents::default();
-    let known = entry(living(1, false), before(80), made);
+    let known = entry(first_endpoint(1, false), before(80), made);
     documents.merge_list(vec![known], before(90), ms(0));
     documents.merge_list(Vec::new(), after(50), ms(10));
     assert_eq!(entry_state(&documents), state);
     let mut written = documents;
     written.expire(ms(2_900));
     assert_eq!(entry_state(&written), state);
-    written.merge(vec![entry(living(1, false), after(52), 52)], ms(2_950));
+    written.merge(vec![entry(first_endpoint(1, false), after(52), 52)], ms(2_950));
     assert_eq!(entry_state(&written), EntryState::Listed);
 }
 
@@ -186,9 +193,9 @@
 #[test]
 fn a_second_restore_is_handled_like_the_first() {
     let mut documents = listed(1, false);
-    documents.merge_list(vec![entry(living(1, false), after(20), 10)], after(25), ms(100));
+    documents.merge_list(vec![entry(first_endpoint(1, false), after(20), 10)], after(25), ms(100));
     let merged = documents.merge_list(
-        vec![entry(living(1, true), Position::new(AFTER + 1, 12), 10)],
+        vec![entry(first_endpoint(1, true), Position::new(AFTER + 1, 12), 10)],
         Position::new(AFTER + 1, 12),
         ms(700),
     );
@@ -210,14 +217,14 @@
     actions
 }
 
-fn gossip(says: Says) -> Event {
-    Event::PeerMessage { from: address(2), message: says.message() }
+fn gossip(fields: Heartbeat) -> Event {
+    Event::PeerMessage { from: address(2), message: fields.message() }
 }
 
-fn beat(heartbeat: u64, says: Says) -> Event {
+fn beat(heartbeat: u64, fields: Heartbeat) -> Event {
     let mut member = serving(2);
     member.heartbeat = heartbeat;
-    gossip(Says { members: vec![member], complete: true, ..says })
+    gossip(Heartbeat { members: vec![member], complete: true, ..fields })
 }
 
 fn new_eras(actions: &[Action]) -> Vec<u64> {
@@ -232,7 +239,7 @@
 fn an_era_announced_by_a_peer_is_passed_on_to_the_store_readers() {
     let mut core = new_core();
     publish(&mut core, 3, before(90), 0);
-    let actions = core.handle(beat(1, Says { era: AFTER, ..Says::default() }), ms(500));
+    let actions = core.handle(beat(1, Heartbeat { era: AFTER, ..Heartbeat::default() }), ms(500));
     assert_eq!(new_eras(&actions), [AFTER]);
     let is_line = |a: &Action| {
         matches!(
@@ -249,10 +256,10 @@
     let spreads = actions.iter().any(|a| {
         matches!(a, Action::Broadcast { message: PeerMessage::Gossip { era: AFTER, .. }, .. })
     });
-    assert!(spreads, "others hear at once");
-    let again = core.handle(beat(2, Says { era: AFTER, ..Says::default() }), ms(510));
+    assert!(spreads, "the era is broadcast at once");
+    let again = core.handle(beat(2, Heartbeat { era: AFTER, ..Heartbeat::default() }), ms(510));
     assert!(new_eras(&again).is_empty());
-    let earlier = core.handle(beat(3, Says { era: BEFORE, ..Says::default() }), ms(520));
+    let earlier = core.handle(beat(3, Heartbeat { era: BEFORE, ..Heartbeat::default() }), ms(520));
     assert!(new_eras(&earlier).is_empty());
 }
 
@@ -263,8 +270,8 @@
     let seen = Seen { version: 3, endpoints: after(40) };
     let mut pulled = None;
     for step in 1..200 {
-        let says = Says { era: AFTER, seen, ..Says::default() };
-        let actions = core.handle(beat(step, says), ms(500 + step * 10));
+        let fields = Heartbeat { era: AFTER, seen, ..Heartbeat::default() };
+        let actions = core.handle(beat(step, fields), ms(500 + step * 10));
         pulled = pulled.or(actions.into_iter().find_map(|a| match a {
             Action::Send { message: PeerMessage::Pull { seen, .. }, .. } => Some(seen),
             _ => None,
@@ -281,7 +288,10 @@
     };
     assert!(actions.iter().any(is_line));
     assert!(core.table().endpoint("engine-1").is_some());
-    assert!(core.table().endpoint("engine-2").is_none(), "the copy had it, and it is gone");
+    assert!(
+        core.table().endpoint("engine-2").is_none(),
+        "the copy had the entry, and it is removed"
+    );
 }
 
 #[test]
@@ -350,8 +360,8 @@
     core.handle(Event::Evacuations { changes, snapshot_at }, ms(now));
 }
 
-#[test_case(true; "an order that the copy lacks goes on")]
-#[test_case(false; "an order that was taken back does not come back with the copy")]
+#[test_case(true; "an order missing from the copy stays in force")]
+#[test_case(false; "a withdrawn order is not restored by the copy")]
 fn orders_stay_as_before_the_restore_until_their_renewal_is_due(stood: bool) {
     let mut core = new_core();
     publish(&mut core, 3, before(90), 0);
@@ -368,7 +378,7 @@
     core.handle(Event::Tick, ms(3_400));
     assert_eq!(is_evacuated(&core), stood);
     core.handle(Event::Tick, ms(3_600));
-    assert_eq!(is_evacuated(&core), !stood, "nobody has written it again");
+    assert_eq!(is_evacuated(&core), !stood, "the order was not written again");
 }
 
 #[test]
@@ -381,7 +391,7 @@
     evacuations(&mut core, vec![order(after(35), true)], Some(after(40)), 500);
     assert!(!is_evacuated(&core));
     evacuations(&mut core, vec![order(after(41), true)], None, 700);
-    assert!(is_evacuated(&core), "it is given anew");
+    assert!(is_evacuated(&core), "the order is written again");
     evacuations(&mut core, vec![order(after(42), false)], None, 800);
     assert!(!is_evacuated(&core));
     core.handle(Event::Tick, ms(4_000));
@@ -400,22 +410,22 @@
     publish(&mut core, 3, before(90), 0);
     evacuations(&mut core, Vec::new(), Some(before(90)), 0);
     let evacuations = without_era(95, true);
-    core.handle(beat(1, Says { evacuations, ..Says::default() }), ms(10));
+    core.handle(beat(1, Heartbeat { evacuations, ..Heartbeat::default() }), ms(10));
     assert!(is_evacuated(&core));
     publish(&mut core, 3, after(40), 500);
     core.handle(Event::Evacuations { changes: Vec::new(), snapshot_at: Some(after(40)) }, ms(500));
     core.handle(Event::Tick, ms(4_000));
     assert!(!is_evacuated(&core));
     let evacuations = without_era(99, true);
-    core.handle(beat(2, Says { evacuations, ..Says::default() }), ms(4_010));
-    assert!(!is_evacuated(&core), "it may be of before");
+    core.handle(beat(2, Heartbeat { evacuations, ..Heartbeat::default() }), ms(4_010));
+    assert!(!is_evacuated(&core), "the order may be of the earlier era");
 }
 
 /// A gateway that starts next to a peer with a later version than the store's.
 fn starts_beside(version: u64) -> GatewayCore {
     let mut core = GatewayCore::new(Setup { settling: ms(0), ..setup() });
     let seen = Seen { version, endpoints: after(40) };
-    core.handle(beat(1, Says { era: AFTER, seen, ..Says::default() }), ms(0));
+    core.handle(beat(1, Heartbeat { era: AFTER, seen, ..Heartbeat::default() }), ms(0));
     publish(&mut core, 6, after(40), 10);
     core
 }
@@ -441,7 +451,7 @@
     let mut core = starts_beside(9);
     let mut ready_at = None;
     for at in (20..3_000).step_by(10) {
-        let actions = core.handle(beat(at, Says::default()), ms(at));
+        let actions = core.handle(beat(at, Heartbeat::default()), ms(at));
         ready_at = ready_at.or(is_ready(&actions).then_some(at));
     }
     assert_eq!(ready_at, Some(1_510));
@@ -457,7 +467,7 @@
         _ => None,
     });
     let asked: BTreeSet<SocketAddr> = asked.expect("a heartbeat").into_iter().collect();
-    assert_eq!(asked, [address(2), address(3)].into(), "all that may know");
+    assert_eq!(asked, [address(2), address(3)].into(), "all seeds");
     assert!(!is_ready(&publish(&mut core, 6, after(40), 10)));
     core
 }
@@ -466,10 +476,12 @@
 fn a_starting_gateway_is_ready_once_a_serving_peer_has_answered() {
     let mut core = starts_with_seeds();
     let seen = Seen { version: 6, endpoints: after(40) };
-    let starting = Says { members: vec![serving(3)], seen, era: AFTER, ..Says::default() };
+    let starting =
+        Heartbeat { members: vec![serving(3)], seen, era: AFTER, ..Heartbeat::default() };
     let event = Event::PeerMessage { from: address(3), message: starting.message() };
-    assert!(!is_ready(&core.handle(event, ms(20))), "it knows no more itself");
-    let actions = core.handle(beat(1, Says { seen, era: AFTER, ..Says::default() }), ms(30));
+    assert!(!is_ready(&core.handle(event, ms(20))), "a starting peer knows no more");
+    let actions =
+        core.handle(beat(1, Heartbeat { seen, era: AFTER, ..Heartbeat::default() }), ms(30));
     assert!(is_ready(&actions));
 }
 
@@ -481,5 +493,5 @@
     let mut core = starts_with_seeds();
     assert_eq!(core.next_wakeup().map(|at| at <= ms(160)), Some(true));
     assert!(!is_ready(&core.handle(Event::Tick, ms(159))));
-    assert!(is_ready(&core.handle(Event::Tick, ms(160))), "silent ones");
+    assert!(is_ready(&core.handle(Event::Tick, ms(160))), "the wait for silent peers is over");
 }
--- a/tests/direct_evacuations.rs
+++ b/tests/direct_evacuations.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use directenv::gateway::{
-    Says, calls, configured, incoming, listed, new_core, publish, refusal, serving, submit,
+    Heartbeat, calls, configured, incoming, listed, new_core, publish, refusal, serving, submit,
 };
 use directenv::{address, deployment, endpoint, ms, position, route};
 use proptest::prelude::*;
@@ -28,9 +28,10 @@
 }
 
 /// Handles a heartbeat of a peer with its known evacuations.
-fn told(core: &mut GatewayCore, known: &Evacuations, now: Duration) -> Vec<Action> {
+fn receive_evacuations(core: &mut GatewayCore, known: &Evacuations, now: Duration) -> Vec<Action> {
     let (members, evacuations) = (vec![serving(2)], known.clone());
-    let message = Says { members, complete: true, evacuations, ..Says::default() }.message();
+    let message =
+        Heartbeat { members, complete: true, evacuations, ..Heartbeat::default() }.message();
     core.handle(Event::PeerMessage { from: address(2), message }, now)
 }
 
@@ -58,12 +59,12 @@
     let noted = |a: &&Action| {
         matches!(a, Action::Log(LogEvent::Evacuation { stands: true, endpoints: 4, .. }))
     };
-    assert_eq!(actions.iter().filter(noted).count(), 1, "on-call is told");
+    assert_eq!(actions.iter().filter(noted).count(), 1, "logged once");
     let spread = |a: &&Action| matches!(a, Action::Broadcast { message: PeerMessage::Gossip { evacuations, .. }, .. } if evacuations.evacuated().contains("hall-0"));
-    assert_eq!(actions.iter().filter(spread).count(), 1, "and the peers, at once");
+    assert_eq!(actions.iter().filter(spread).count(), 1, "and broadcast at once");
     assert_eq!(reached(&mut core, 10, ms(3)), ["hall-1"]);
     ordered(&mut core, change("hall-0", 4, false), ms(4));
-    assert_eq!(reached(&mut core, 20, ms(5)), ["hall-1"], "older news change nothing");
+    assert_eq!(reached(&mut core, 20, ms(5)), ["hall-1"], "older changes are ignored");
     ordered(&mut core, change("hall-0", 6, false), ms(6));
     assert!(reached(&mut core, 30, ms(7)).contains(&"hall-0".to_owned()));
 }
@@ -73,7 +74,7 @@
     let mut core = new_core();
     let mut known = Evacuations::default();
     known.apply(&change("hall-0", 5, true));
-    told(&mut core, &known, ms(1));
+    receive_evacuations(&mut core, &known, ms(1));
     publish(&mut core, deployment(1, vec![route("r", Repeat::Idempotent, &[])]), ms(2));
     assert_eq!(reached(&mut core, 1, ms(3)), ["hall-1"]);
     // The endpoint is listed again and the configuration changes; the order stays in force.
@@ -89,16 +90,16 @@
     let mut known = Evacuations::default();
     known.apply(&change("hall-0", 5, true));
     core.handle(Event::Evacuations { changes: Vec::new(), snapshot_at: Some(position(8)) }, ms(1));
-    told(&mut core, &known, ms(2));
-    assert_eq!(reached(&mut core, 1, ms(3)), ["hall-0", "hall-1"], "at 8 it did not stand");
+    receive_evacuations(&mut core, &known, ms(2));
+    assert_eq!(reached(&mut core, 1, ms(3)), ["hall-0", "hall-1"], "not in force at revision 8");
     known.apply(&change("hall-0", 9, true));
-    told(&mut core, &known, ms(4));
-    assert_eq!(reached(&mut core, 10, ms(5)), ["hall-1"], "but at 9 it does");
+    receive_evacuations(&mut core, &known, ms(4));
+    assert_eq!(reached(&mut core, 10, ms(5)), ["hall-1"], "in force at revision 9");
 }
 
 #[test_case(&["hall-0", "hall-1"], false; "two data centres, which have all endpoints")]
-#[test_case(&["hall-9"], true; "one that nobody knows")]
-#[test_case(&[""], true; "one without a name")]
+#[test_case(&["hall-9"], true; "an unknown data centre")]
+#[test_case(&[""], true; "an empty name")]
 fn requests_without_an_endpoint_are_refused_at_once(evacuated: &[&str], is_served: bool) {
     let mut core = core();
     for (number, data_centre) in evacuated.iter().enumerate() {
@@ -144,16 +145,16 @@
     }
     assert!(known.evacuated().len() <= 64);
     let mut core = core();
-    let mut told = 0;
+    let mut receive_evacuations = 0;
     for number in 0..100 {
         let actions =
             ordered(&mut core, change(&format!("place-{number}"), number + 5, true), ms(1));
-        told += actions
+        receive_evacuations += actions
             .iter()
             .filter(|a| matches!(a, Action::Log(LogEvent::Unreadable { .. })))
             .count();
     }
-    assert_eq!(told, 36, "each that is not taken leaves a line");
+    assert_eq!(receive_evacuations, 36, "each rejected order is logged");
 }
 
 /// Changes of the orders for three data centres, one revision each.
@@ -169,7 +170,7 @@
     fn known_evacuations_merge_to_the_orders_in_force(
         history in history(),
         heard in prop::collection::vec((0usize..4, any::<prop::sample::Index>(), any::<bool>()), 0..40),
-        told in prop::collection::vec((0usize..4, 0usize..4), 0..40),
+        receive_evacuations in prop::collection::vec((0usize..4, 0usize..4), 0..40),
     ) {
         let name = |place: usize| format!("hall-{place}");
         let standing_at = |revision: u64| {
@@ -189,7 +190,7 @@
             Evacuations::from_read(&changes, position(revision))
         };
         let mut processes = vec![Evacuations::default(); 4];
-        let mut talk = told.iter().cycle();
+        let mut talk = receive_evacuations.iter().cycle();
         for (process, index, whole) in heard {
             let at = index.index(history.len());
             if whole {
--- a/tests/direct_experience.rs
+++ b/tests/direct_experience.rs
@@ -35,18 +35,18 @@
     assert_eq!(experience.expected(&route(), Span::Total, 100, Confidence::UpperBound), None);
 }
 
-#[test_case(100, Confidence::UpperBound, 3_600; "small, the worst and a fifth")]
-#[test_case(1_000, Confidence::UpperBound, 6_000; "large, the worst and a fifth")]
-#[test_case(1_000, Confidence::Typical, 5_000; "large, as usual")]
-#[test_case(100_000, Confidence::Typical, 5_000; "a size that was never seen, as the whole route")]
-#[test_case(2_000, Confidence::UpperBound, 12_000; "larger than any that was seen, in proportion")]
+#[test_case(100, Confidence::UpperBound, 3_600; "small, the longest plus a fifth")]
+#[test_case(1_000, Confidence::UpperBound, 6_000; "large, the longest plus a fifth")]
+#[test_case(1_000, Confidence::Typical, 5_000; "large, typical")]
+#[test_case(100_000, Confidence::Typical, 5_000; "an unknown size, typical of the whole route")]
+#[test_case(2_000, Confidence::UpperBound, 12_000; "larger than any recorded size, in proportion")]
 fn expected_durations_depend_on_the_size(size: u64, sure: Confidence, expected: u64) {
     assert_eq!(experience().expected(&route(), Span::Run, size, sure), Some(ms(expected)));
 }
 
 // Regression test (issue 18): much smaller requests, or a single one, counted as evidence for every
 // size.
-#[test_case(100_000; "much larger than any that was seen")]
+#[test_case(100_000; "much larger than any recorded size")]
 #[test_case(1; "much smaller")]
 fn sizes_far_from_all_recorded_ones_have_no_upper_bound(size: u64) {
     assert_eq!(experience().expected(&route(), Span::Run, size, Confidence::UpperBound), None);
@@ -106,12 +106,12 @@
     assert_eq!(experience.expected(&route(), Span::Run, 100, Confidence::UpperBound), None);
 }
 
-#[test_case(500, true, false, true, Confidence::UpperBound; "others take a new one at once")]
-#[test_case(500, true, false, false, Confidence::Typical; "nobody else serves")]
-#[test_case(500, true, true, false, Confidence::Typical; "a stream of a caller who could not know")]
-#[test_case(500, false, false, true, Confidence::Typical; "half made already")]
-#[test_case(2_600, true, false, false, Confidence::UpperBound; "callers who could know")]
-#[test_case(2_600, true, true, false, Confidence::Deadline; "a stream of a caller who could know")]
+#[test_case(500, true, false, true, Confidence::UpperBound; "other gateways accept a new one at once")]
+#[test_case(500, true, false, false, Confidence::Typical; "no other gateway serves")]
+#[test_case(500, true, true, false, Confidence::Typical; "a stream of a caller who could not know of the stop")]
+#[test_case(500, false, false, true, Confidence::Typical; "stages partly produced")]
+#[test_case(2_600, true, false, false, Confidence::UpperBound; "a caller who could know of the stop")]
+#[test_case(2_600, true, true, false, Confidence::Deadline; "a stream of a caller who could know of the stop")]
 #[test_case(2_600, false, true, false, Confidence::UpperBound; "late for its run")]
 fn later_requests_need_more_confidence(
     age: u64,
--- a/tests/direct_gates.rs
+++ b/tests/direct_gates.rs
@@ -65,14 +65,14 @@
 
 /// An endpoint whose first message is held back before it is sent, and which sends a status in
 /// every answer.
-struct Said {
+struct StatusClient {
     statement: Statement,
     held: Arc<Semaphore>,
     calls: AtomicUsize,
-    went_out: Arc<AtomicUsize>,
+    sent: Arc<AtomicUsize>,
 }
 
-impl EndpointClient for Said {
+impl EndpointClient for StatusClient {
     async fn call(
         &self,
         _order: CallParams,
@@ -85,7 +85,7 @@
         if !exchange.may_send() {
             return Err(CallFailure::Withheld);
         }
-        self.went_out.fetch_add(1, Ordering::Relaxed);
+        self.sent.fetch_add(1, Ordering::Relaxed);
         exchange.on_status(self.statement);
         let head = AnswerHead { status: StatusCode::OK, headers: HeaderMap::new() };
         let proof = AnswerProof {
@@ -123,9 +123,9 @@
 #[test_case(Statement { backoff: Some(Backoff::Unclear), ..Statement::default() }; "pause")]
 #[tokio::test]
 async fn a_call_ordered_before_a_status_is_withheld(statement: Statement) {
-    let (held, went_out) = (Arc::new(Semaphore::new(0)), Arc::<AtomicUsize>::default());
+    let (held, sent) = (Arc::new(Semaphore::new(0)), Arc::<AtomicUsize>::default());
     let calls = AtomicUsize::new(0);
-    let client = Said { statement, held: held.clone(), calls, went_out: went_out.clone() };
+    let client = StatusClient { statement, held: held.clone(), calls, sent: sent.clone() };
     let (core, waiting) = mailbox();
     let peers = PeerLinks::new(address(9), 1, core.clone());
     let lines = LogWriter::new("test");
@@ -154,5 +154,5 @@
     assert!(matches!(second, Reply::Complete(..)));
     let Reply::Refused(refusal) = first else { panic!("it went out") };
     assert!(refusal.not_run);
-    assert_eq!(went_out.load(Ordering::Relaxed), 1);
+    assert_eq!(sent.load(Ordering::Relaxed), 1);
 }
--- a/tests/direct_homes.rs
+++ b/tests/direct_homes.rs
@@ -51,9 +51,9 @@
 #[test_case(&[], &[], &["hall-0", "hall-1"]; "anywhere")]
 #[test_case(&["east"], &[], &["hall-0"]; "the route's")]
 #[test_case(&[], &["west"], &["hall-1"]; "the organisation's")]
-#[test_case(&["east", "west"], &["west"], &["hall-1"]; "both bind")]
-#[test_case(&["east"], &["west"], &[]; "none is common to both")]
-#[test_case(&["north"], &[], &[]; "one without endpoints")]
+#[test_case(&["east", "west"], &["west"], &["hall-1"]; "both apply")]
+#[test_case(&["east"], &["west"], &[]; "no common region")]
+#[test_case(&["north"], &[], &[]; "a region without endpoints")]
 fn a_request_runs_in_its_allowed_regions(route: &[&str], organisation: &[&str], expected: &[&str]) {
     let mut core = core(route, organisation, false);
     let mut reached = Vec::new();
@@ -61,7 +61,7 @@
         let actions = submit(&mut core, caller, incoming("r", Vec::new()), ms(1));
         reached.extend(calls(&actions).iter().map(|c| c.1.endpoint.data_centre.to_string()));
         if expected.is_empty() {
-            let refusal = refusal(&actions).expect("refused as what it is");
+            let refusal = refusal(&actions).expect("refused for its allowed regions");
             assert_eq!((refusal.reason, refusal.not_run), (Refused::NoEndpointAtHome, true));
         }
     }
--- a/tests/direct_late.rs
+++ b/tests/direct_late.rs
@@ -5,7 +5,9 @@
 
 use std::time::Duration;
 
-use directenv::gateway::{Says, calls, configured, hear_of, incoming, refusal, serving, submit};
+use directenv::gateway::{
+    Heartbeat, calls, configured, incoming, receive_gossip, refusal, serving, submit,
+};
 use directenv::{address, ms, route};
 use stackmast::actor::{self, Core, Shell};
 use stackmast::direct::core::GatewayCore;
@@ -24,7 +26,7 @@
 }
 
 /// Reports that 30 events in a row waited `waited` for the core.
-fn wait(core: &mut GatewayCore, waited: Duration, now: Duration) {
+fn report_queue_delays(core: &mut GatewayCore, waited: Duration, now: Duration) {
     for _ in 0..30 {
         core.on_queue_delay(waited, now);
         core.handle(Event::Tick, now);
@@ -39,16 +41,16 @@
     assert_eq!(calls(&actions)[0].1.timeout, ms(785));
     core.on_queue_delay(Duration::ZERO, ms(1_801));
     let actions = core.handle(Event::Tick, ms(1_801));
-    assert!(refusal(&actions).is_some(), "800 ms after its arrival it has its answer");
+    assert!(refusal(&actions).is_some(), "answered 800 ms after its arrival");
 }
 
 #[test]
 fn an_overloaded_gateway_refuses_new_requests_as_not_run() {
     let mut core = configured(vec![plain()]);
-    wait(&mut core, ms(450), ms(1_000));
+    report_queue_delays(&mut core, ms(450), ms(1_000));
     core.on_queue_delay(ms(450), ms(1_001));
     let actions = submit(&mut core, 1, incoming("plain", vec![]), ms(1_001));
-    assert!(calls(&actions).is_empty(), "nothing is begun");
+    assert!(calls(&actions).is_empty(), "no call is sent");
     let refused = refusal(&actions).expect("a refusal");
     assert_eq!((refused.reason, refused.not_run), (Refused::Overloaded, true));
     assert!(refused.retry_after >= ms(150));
@@ -57,7 +59,7 @@
 #[test]
 fn refusals_end_with_the_event_lag() {
     let mut core = configured(vec![plain()]);
-    wait(&mut core, ms(450), ms(1_000));
+    report_queue_delays(&mut core, ms(450), ms(1_000));
     let mut now = ms(1_001);
     for _ in 0..20 {
         now += ms(1);
@@ -90,7 +92,7 @@
 fn with_owner() -> GatewayCore {
     let mut core = configured(vec![staged()]);
     let strong = stackmast::direct::peers::members::Member { capacity: 9_000, ..serving(5) };
-    hear_of(&mut core, vec![strong], ms(1_000));
+    receive_gossip(&mut core, vec![strong], ms(1_000));
     core
 }
 
@@ -100,7 +102,8 @@
     let beat = |heartbeat: u64| {
         let members =
             vec![stackmast::direct::peers::members::Member { heartbeat, ..strong.clone() }];
-        let message = Says { members, complete: true, event_lag, ..Says::default() }.message();
+        let message =
+            Heartbeat { members, complete: true, event_lag, ..Heartbeat::default() }.message();
         Event::PeerMessage { from: address(5), message }
     };
     core.handle(beat(2), ms(1_100));
@@ -118,16 +121,16 @@
     None
 }
 
-#[test_case(0, 250; "one that says that it has time")]
-#[test_case(150, 700; "one that says that it is busy is waited for")]
-#[test_case(2_000, 1_450; "but not for ever")]
+#[test_case(0, 250; "an owner without event lag")]
+#[test_case(150, 700; "a longer wait for an owner with event lag")]
+#[test_case(2_000, 1_450; "a bounded wait for an owner with a large event lag")]
 fn a_job_is_resubmitted_when_its_owner_does_not_decide(late: u64, after: u64) {
     let mut core = with_owner();
     assert_eq!(resubmitted_after(&mut core, ms(late)), Some(after));
 }
 
 /// Records the callers whose events are handled.
-struct Order(std::sync::mpsc::Sender<u64>);
+struct Recorder(std::sync::mpsc::Sender<u64>);
 
 struct Numbers(Vec<u64>);
 
@@ -150,7 +153,7 @@
     }
 }
 
-impl Shell<Numbers> for Order {
+impl Shell<Numbers> for Recorder {
     fn act(&mut self, action: u64, _core: &Numbers) {
         self.0.send(action).ok();
     }
@@ -164,7 +167,7 @@
     }
     drop(handle);
     let (sender, handled) = std::sync::mpsc::channel();
-    actor::run(Numbers(Vec::new()), Order(sender), mailbox).await;
+    actor::run(Numbers(Vec::new()), Recorder(sender), mailbox).await;
     assert_eq!(handled.iter().collect::<Vec<_>>(), [1, 2, 11, 12, 13, 14]);
 }
 
@@ -176,7 +179,7 @@
     }
     drop(handle);
     let (sender, handled) = std::sync::mpsc::channel();
-    actor::run(Numbers(Vec::new()), Order(sender), mailbox).await;
+    actor::run(Numbers(Vec::new()), Recorder(sender), mailbox).await;
     let handled: Vec<u64> = handled.iter().collect();
     let place = |event: u64| handled.iter().position(|e| *e == event);
     assert_eq!((place(11), place(12)), (Some(16), Some(33)));
--- a/tests/direct_ledger.rs
+++ b/tests/direct_ledger.rs
@@ -34,7 +34,7 @@
     let compared = compared(shape(jobs, endpoints, failing, seed));
     assert!(compared.states > 100, "{compared:?}");
     assert!(compared.calls > 50, "{compared:?}");
-    assert_eq!(compared.states_apart, 0, "{compared:?}");
+    assert_eq!(compared.differing_states, 0, "{compared:?}");
 }
 
 // Admission reads the planned result memory from a clock of discrete steps, and plans are up to one
@@ -50,11 +50,11 @@
     println!("{all:?}");
     assert!(all.decisions > 1_000, "{all:?}");
     assert!(all.refused > 100, "the load must meet refusals: {all:?}");
-    let apart = all.refused_only_anew + all.refused_only_kept;
-    assert!(apart * 100 <= all.decisions * 5, "more than 5 in 100 differ: {all:?}");
-    let leaning = all.refused_only_anew.abs_diff(all.refused_only_kept);
-    assert!(leaning * 100 <= all.decisions * 4, "they lean to one side: {all:?}");
-    assert!(all.calls_apart * 100 <= all.calls * 2, "more than 2 calls in 100 differ: {all:?}");
+    let differing = all.refused_only_recomputed + all.refused_only_kept;
+    assert!(differing * 100 <= all.decisions * 5, "more than 5 in 100 differ: {all:?}");
+    let imbalance = all.refused_only_recomputed.abs_diff(all.refused_only_kept);
+    assert!(imbalance * 100 <= all.decisions * 4, "biased to one side: {all:?}");
+    assert!(all.differing_calls * 100 <= all.calls * 2, "more than 2 calls in 100 differ: {all:?}");
 }
 
 // The cost of a job doesn't depend on the number of held jobs; the test counts the checked jobs
--- a/tests/direct_limits.rs
+++ b/tests/direct_limits.rs
@@ -6,9 +6,12 @@
 use std::time::Duration;
 
 use directenv::gateway::{
-    Says, calls, configured, good, hear_of, incoming, publish, refusal, serving, setup, submit,
+    Heartbeat, calls, configured, good, incoming, publish, receive_gossip, refusal, serving, setup,
+    submit,
+};
+use directenv::status_headers::{
+    SECONDS, batches, engine, enter, pause_for, receive_status, routes, with_incarnation,
 };
-use directenv::said::{SECONDS, batches, engine, enter, living, pause_for, routes, says};
 use directenv::{address, deployment, endpoint, ms};
 use stackmast::actor::Core;
 use stackmast::direct::answers::{BatchOutcome, CallFailure, PieceOutcome};
@@ -31,19 +34,19 @@
     RateLimit::At(rate(per_second))
 }
 
-fn names(limit: f64) -> Statement {
+fn announces(limit: f64) -> Statement {
     Statement { limit: Some(at(limit)), ..Statement::default() }
 }
 
 /// A single, settled gateway; one of its engines has announced a limit.
 fn limited(limit: f64) -> GatewayCore {
     let mut core = configured(routes());
-    says(&mut core, &engine(1), names(limit), 2_000);
+    receive_status(&mut core, &engine(1), announces(limit), 2_000);
     core
 }
 
 /// Submits a request every `every` ms, answers all calls at once and returns the calls.
-fn press(
+fn submit_load(
     core: &mut GatewayCore,
     first: u64,
     from: u64,
@@ -74,27 +77,27 @@
 #[test]
 fn an_endpoint_gets_its_announced_rate_and_the_others_the_rest() {
     let mut core = limited(2.0);
-    let sent = press(&mut core, 100, 2_010, 12_010, 20);
+    let sent = submit_load(&mut core, 100, 2_010, 12_010, 20);
     let first = to_first(&sent);
     assert!(first.len() >= 14 && first.len() <= 20, "{first:?}");
     let apart = first.windows(2).all(|pair| pair[1] - pair[0] >= 400);
     assert!(apart, "evenly: {first:?}");
-    assert_eq!(sent.len(), 500, "nobody is refused");
+    assert_eq!(sent.len(), 500, "no request is refused");
     assert!(
         sent.iter().all(|(_, order)| order.permit.is_some() == (&*order.endpoint.id == "engine-1"))
     );
 }
 
-#[test_case(0.0, 1, 2; "none: asked now and then whether that holds")]
+#[test_case(0.0, 1, 2; "zero: probed now and then")]
 #[test_case(0.25, 3, 5; "one in four seconds")]
 fn the_smallest_limits_are_respected(limit: f64, from: usize, to: usize) {
     let mut core = limited(limit);
-    let first = to_first(&press(&mut core, 100, 2_010, 22_010, 50));
+    let first = to_first(&submit_load(&mut core, 100, 2_010, 22_010, 50));
     assert!(first.len() >= from && first.len() <= to, "{first:?}");
 }
 
 /// Handles an answer with a limit that was read at `read`, to a message sent at `sent`.
-fn state(known: &mut KnownLimits, limit: RateLimit, sent: u64, read: u64) {
+fn record_answer(known: &mut KnownLimits, limit: RateLimit, sent: u64, read: u64) {
     if known.is_changed_by(&engine(1), limit, ms(sent)) {
         known.record(&engine(1), limit, ms(read));
     }
@@ -102,21 +105,21 @@
 
 // The answers are listed as (message sent, limit, answer read), in the order in which they are
 // read.
-#[test_case(&[(0, Some(3.0), 5), (2, None, 6)], Some(3.0); "an answer that was written before")]
-#[test_case(&[(0, Some(3.0), 5), (6, None, 9)], None; "an answer without it")]
-#[test_case(&[(0, Some(3.0), 5), (2, Some(8.0), 6)], Some(3.0); "a higher one that was written before")]
-#[test_case(&[(0, Some(3.0), 5), (6, Some(8.0), 9)], Some(8.0); "a higher one")]
-#[test_case(&[(0, Some(3.0), 5), (2, Some(1.0), 6)], Some(1.0); "a lower one, whenever it was written")]
-#[test_case(&[(0, Some(3.0), 5), (6, None, 9), (1, Some(3.0), 10)], Some(3.0); "an old one again")]
-#[test_case(&[(0, None, 5)], None; "none at all")]
+#[test_case(&[(0, Some(3.0), 5), (2, None, 6)], Some(3.0); "an earlier message, without a limit")]
+#[test_case(&[(0, Some(3.0), 5), (6, None, 9)], None; "a later message, without a limit")]
+#[test_case(&[(0, Some(3.0), 5), (2, Some(8.0), 6)], Some(3.0); "an earlier message, a higher limit")]
+#[test_case(&[(0, Some(3.0), 5), (6, Some(8.0), 9)], Some(8.0); "a later message, a higher limit")]
+#[test_case(&[(0, Some(3.0), 5), (2, Some(1.0), 6)], Some(1.0); "a lower limit, whenever sent")]
+#[test_case(&[(0, Some(3.0), 5), (6, None, 9), (1, Some(3.0), 10)], Some(3.0); "the old limit again")]
+#[test_case(&[(0, None, 5)], None; "no limit at all")]
 fn the_announced_limit_depends_on_the_order_of_answers(
-    told: &[(u64, Option<f64>, u64)],
+    sent_departures: &[(u64, Option<f64>, u64)],
     expected: Option<f64>,
 ) {
     let mut known = KnownLimits::default();
-    for &(sent, limit, read) in told {
+    for &(sent, limit, read) in sent_departures {
         let limit = limit.map_or(RateLimit::None, at);
-        state(&mut known, limit, sent, read);
+        record_answer(&mut known, limit, sent, read);
     }
     // After an announcement without a limit the rate grows by steps until the endpoint is
     // unlimited.
@@ -124,25 +127,25 @@
     assert_eq!(free, expected.map(rate));
 }
 
-fn account(version: u64, limit: RateLimit) -> AnnouncedLimit {
+fn announced(version: u64, limit: RateLimit) -> AnnouncedLimit {
     AnnouncedLimit { endpoint: engine(1).id.clone(), incarnation: 0, version, limit }
 }
 
 #[test]
 fn announced_limits_merge_in_any_order() {
     let accounts = [
-        account(1, at(3.0)),
-        account(2, RateLimit::None),
-        account(2, at(4.0)),
-        account(2, at(2.0)),
-        account(1, at(0.5)),
+        announced(1, at(3.0)),
+        announced(2, RateLimit::None),
+        announced(2, at(4.0)),
+        announced(2, at(2.0)),
+        announced(1, at(0.5)),
     ];
     for start in 0..accounts.len() {
         let mut known = KnownLimits::default();
         for number in 0..accounts.len() * 2 {
-            let told = &accounts[(start + number * 3) % accounts.len()];
-            if known.is_superseded_by(told) {
-                known.merge(told, ms(10));
+            let sent_departures = &accounts[(start + number * 3) % accounts.len()];
+            if known.is_superseded_by(sent_departures) {
+                known.merge(sent_departures, ms(10));
             }
         }
         assert_eq!(known.rate(&engine(1), ms(20)), Some(rate(2.0)), "the newest, the strictest");
@@ -152,8 +155,8 @@
 #[test]
 fn a_limit_ends_by_steps() {
     let mut known = KnownLimits::default();
-    state(&mut known, at(3.0), 0, 0);
-    state(&mut known, RateLimit::None, 10, 1_000);
+    record_answer(&mut known, at(3.0), 0, 0);
+    record_answer(&mut known, RateLimit::None, 10, 1_000);
     let gets = |after: u64| known.rate(&engine(1), ms(1_000 + after));
     let expected = [3.0, 6.0, 12.0, 24.0, 48.0];
     for (second, rate_then) in expected.into_iter().enumerate() {
@@ -161,18 +164,18 @@
     }
     assert_eq!(gets(5 * SECONDS), None);
     // A new limit within this time applies at once.
-    state(&mut known, at(3.0), 2_000, 2_100);
+    record_answer(&mut known, at(3.0), 2_000, 2_100);
     assert_eq!(known.rate(&engine(1), ms(9_000)), Some(rate(3.0)));
 }
 
 #[test]
 fn a_new_incarnation_has_no_limit() {
     let mut core = configured(routes());
-    enter(&mut core, &living("engine", 1, 7), 50, 5);
-    says(&mut core, &living("engine", 1, 7), names(0.0), 2_000);
-    assert!(to_first(&press(&mut core, 100, 2_010, 2_500, 20)).is_empty());
-    enter(&mut core, &living("engine", 1, 9), 51, 2_600);
-    let first = to_first(&press(&mut core, 300, 2_610, 3_110, 20));
+    enter(&mut core, &with_incarnation("engine", 1, 7), 50, 5);
+    receive_status(&mut core, &with_incarnation("engine", 1, 7), announces(0.0), 2_000);
+    assert!(to_first(&submit_load(&mut core, 100, 2_010, 2_500, 20)).is_empty());
+    enter(&mut core, &with_incarnation("engine", 1, 9), 51, 2_600);
+    let first = to_first(&submit_load(&mut core, 300, 2_610, 3_110, 20));
     assert!(first.len() >= 10, "{first:?}");
 }
 
@@ -180,8 +183,8 @@
 fn the_number_of_known_limits_is_bounded() {
     let mut known = KnownLimits::default();
     for number in 0..6_000u64 {
-        let told = AnnouncedLimit { incarnation: number, ..account(1, at(1.0)) };
-        known.merge(&told, ms(number));
+        let sent_departures = AnnouncedLimit { incarnation: number, ..announced(1, at(1.0)) };
+        known.merge(&sent_departures, ms(number));
     }
     assert!(known.len() <= 4_096);
     assert!(known.take_changes().len() <= 256);
@@ -196,7 +199,7 @@
     for asked in [CallKind::Request, CallKind::Pieces, CallKind::Report, CallKind::Free] {
         assert!(!gates.is_open(&named, asked, None, ms(90_000)), "also much later");
         assert!(gates.is_open(&named, asked, Some(ms(50)), ms(49)));
-        assert!(!gates.is_open(&named, asked, Some(ms(50)), ms(50)), "it is void");
+        assert!(!gates.is_open(&named, asked, Some(ms(50)), ms(50)), "the permit has expired");
         assert!(gates.is_open(&engine(2), asked, None, ms(0)));
     }
     gates.set_limited(named.id.clone(), 0, false, ms(90_000));
@@ -208,7 +211,7 @@
     let mut core = configured(routes());
     let actions = submit(&mut core, 1, incoming("r", Vec::new()), ms(2_000));
     let (attempt, order) = calls(&actions)[0].clone();
-    let actions = says(&mut core, &order.endpoint, names(0.0), 2_001);
+    let actions = receive_status(&mut core, &order.endpoint, announces(0.0), 2_001);
     let closes = |a: &Action| matches!(a, Action::RequirePermits { is_limited: true, .. });
     assert!(actions.iter().any(closes));
     let failure = CallFailure::Withheld;
@@ -219,7 +222,7 @@
 #[test]
 fn when_all_endpoints_are_limited_requests_wait_or_are_refused_with_their_turn() {
     let mut core = limited(1.0);
-    says(&mut core, &engine(2), names(1.0), 2_000);
+    receive_status(&mut core, &engine(2), announces(1.0), 2_000);
     let mut refused = Vec::new();
     let mut served = Vec::new();
     for caller in 1..=40 {
@@ -245,12 +248,12 @@
 
 #[test]
 fn urgent_requests_and_early_deadlines_get_permits_first() {
-    let (life, pace) = (("engine-1".into(), 0), Pace::new(rate(1.0), 1.0));
+    let (endpoint_key, pace) = (("engine-1".into(), 0), Pace::new(rate(1.0), 1.0));
     let mut limiter = Limiter::default();
     let asker = |number| Asker { gateway: address(1), number };
     let mut ask = |number, priority, latest: u64| {
         let ask = PermitRequest { asker: asker(number), priority, latest: ms(latest) };
-        limiter.request(&life, pace, ask, ms(0))
+        limiter.request(&endpoint_key, pace, ask, ms(0))
     };
     assert!(ask(1, 5, 9_000).is_empty());
     assert!(ask(2, 5, 8_000).is_empty());
@@ -275,15 +278,15 @@
 
 #[test]
 fn a_more_urgent_request_displaces_one_that_can_not_wait() {
-    let (life, pace) = (("engine-1".into(), 0), Pace::new(rate(1.0), 1.0));
+    let (endpoint_key, pace) = (("engine-1".into(), 0), Pace::new(rate(1.0), 1.0));
     let mut limiter = Limiter::default();
     let ask = |number, priority, latest: u64| PermitRequest {
         asker: Asker { gateway: address(1), number },
         priority,
         latest: ms(latest),
     };
-    assert!(limiter.request(&life, pace, ask(1, 5, 1_500), ms(0)).is_empty());
-    let decided = limiter.request(&life, pace, ask(2, 0, 1_500), ms(10));
+    assert!(limiter.request(&endpoint_key, pace, ask(1, 5, 1_500), ms(0)).is_empty());
+    let decided = limiter.request(&endpoint_key, pace, ask(2, 0, 1_500), ms(10));
     let [PermitDecision::Refused(who, turn)] = decided[..] else { panic!("{decided:?}") };
     assert!(who.number == 1 && turn > ms(2_000) && turn < ms(2_300), "refused at once: {turn:?}");
 }
@@ -291,10 +294,10 @@
 #[test]
 fn a_pause_and_a_limit_both_apply() {
     let mut core = limited(2.0);
-    says(&mut core, &engine(1), pause_for(ms(3 * SECONDS)), 2_010);
-    let first = to_first(&press(&mut core, 100, 2_020, 4_990, 20));
+    receive_status(&mut core, &engine(1), pause_for(ms(3 * SECONDS)), 2_010);
+    let first = to_first(&submit_load(&mut core, 100, 2_020, 4_990, 20));
     assert!(first.is_empty(), "{first:?}");
-    let first = to_first(&press(&mut core, 400, 6_000, 10_000, 20));
+    let first = to_first(&submit_load(&mut core, 400, 6_000, 10_000, 20));
     assert!(!first.is_empty() && first.len() <= 9, "{first:?}");
 }
 
@@ -302,7 +305,7 @@
 fn batch_calls_respect_limits() {
     let mut core = configured(routes());
     for number in 1..=2 {
-        says(&mut core, &endpoint("first", number), names(1.0), 2_000);
+        receive_status(&mut core, &endpoint("first", number), announces(1.0), 2_000);
     }
     let mut sent = Vec::new();
     for now in (2_010..12_010).step_by(10) {
@@ -324,17 +327,17 @@
 }
 
 /// Two gateways; the second one starts later and knows the first one.
-fn two() -> (GatewayCore, GatewayCore) {
+fn two_gateways() -> (GatewayCore, GatewayCore) {
     let gateway = |port| {
         let mut core = GatewayCore::new(Setup { address: address(port), ..setup() });
         publish(&mut core, deployment(1, routes()), ms(0));
-        hear_of(&mut core, vec![serving(3 - port)], ms(100));
+        receive_gossip(&mut core, vec![serving(3 - port)], ms(100));
         core
     };
     (gateway(1), gateway(2))
 }
 
-fn limits_told(actions: &[Action]) -> Vec<AnnouncedLimit> {
+fn sent_limits(actions: &[Action]) -> Vec<AnnouncedLimit> {
     let messages = actions.iter().filter_map(|a| match a {
         Action::Broadcast { message: PeerMessage::Gossip { limits, .. }, .. }
         | Action::Send { message: PeerMessage::Gossip { limits, .. }, .. } => Some(limits),
@@ -345,22 +348,31 @@
 
 #[test]
 fn a_limit_is_sent_with_two_heartbeats_and_to_starting_gateways() {
-    let (mut core, _) = two();
-    let mut told = limits_told(&says(&mut core, &engine(1), names(1.0), 200));
+    let (mut core, _) = two_gateways();
+    let mut sent_departures =
+        sent_limits(&receive_status(&mut core, &engine(1), announces(1.0), 200));
     for beat in 1..10 {
-        told.extend(limits_told(&core.handle(Event::Tick, ms(300 + beat * 200))));
+        sent_departures.extend(sent_limits(&core.handle(Event::Tick, ms(300 + beat * 200))));
     }
-    assert_eq!(told, [account(1, at(1.0)), account(1, at(1.0))], "with two heartbeats");
-    let message = Says { members: vec![serving(5)], ..Says::default() }.message();
+    assert_eq!(
+        sent_departures,
+        [announced(1, at(1.0)), announced(1, at(1.0))],
+        "with two heartbeats"
+    );
+    let message = Heartbeat { members: vec![serving(5)], ..Heartbeat::default() }.message();
     let actions = core.handle(Event::PeerMessage { from: address(5), message }, ms(1_100));
-    assert_eq!(limits_told(&actions), [account(1, at(1.0))], "who starts is told at once");
+    assert_eq!(
+        sent_limits(&actions),
+        [announced(1, at(1.0))],
+        "a starting gateway gets it at once"
+    );
 }
 
 #[test]
 fn a_limit_from_a_peer_is_respected() {
-    let (mut core, _) = two();
-    let limits = vec![account(1, at(0.0))];
-    let message = Says { members: vec![serving(2)], limits, ..Says::default() }.message();
+    let (mut core, _) = two_gateways();
+    let limits = vec![announced(1, at(0.0))];
+    let message = Heartbeat { members: vec![serving(2)], limits, ..Heartbeat::default() }.message();
     core.handle(Event::PeerMessage { from: address(2), message }, ms(200));
     for caller in 1..=40 {
         let actions = submit(&mut core, caller, incoming("r", Vec::new()), ms(200 + caller));
@@ -369,30 +381,30 @@
 }
 
 fn asked(actions: &[Action]) -> Vec<u64> {
-    let told = actions.iter().filter_map(|a| match a {
+    let sent_departures = actions.iter().filter_map(|a| match a {
         Action::Send { message: PeerMessage::AskPermit { number, .. }, .. } => Some(*number),
         _ => None,
     });
-    told.collect()
+    sent_departures.collect()
 }
 
 /// Returns the permit request for an engine whose limiter is the other one of two gateways.
-fn of_the_other(core: &mut GatewayCore, now: u64) -> u64 {
-    says(core, &engine(1), names(1.0), now);
-    says(core, &engine(2), names(1.0), now);
+fn permit_request_to_peer(core: &mut GatewayCore, now: u64) -> u64 {
+    receive_status(core, &engine(1), announces(1.0), now);
+    receive_status(core, &engine(2), announces(1.0), now);
     for caller in 1..=20 {
         let actions = submit(core, caller, incoming("r", Vec::new()), ms(now + caller));
         if let Some(number) = asked(&actions).first() {
             return *number;
         }
     }
-    panic!("the other one is no limiter")
+    panic!("the other gateway is not the limiter")
 }
 
 #[test]
 fn a_late_permit_is_void() {
-    let (_, mut core) = two();
-    let number = of_the_other(&mut core, 500);
+    let (_, mut core) = two_gateways();
+    let number = permit_request_to_peer(&mut core, 500);
     let later = 9_000;
     core.handle(Event::Tick, ms(later));
     let (granted, retry_after) = (true, Duration::ZERO);
@@ -403,8 +415,8 @@
 
 #[test]
 fn only_the_limiter_grants_permits() {
-    let (_, mut core) = two();
-    let number = of_the_other(&mut core, 500);
+    let (_, mut core) = two_gateways();
+    let number = permit_request_to_peer(&mut core, 500);
     let (granted, retry_after) = (true, Duration::ZERO);
     let message = PeerMessage::Permit { number, granted, retry_after };
     let event = |from| Event::PeerMessage { from: address(from), message: message.clone() };
@@ -464,13 +476,13 @@
 
 #[test]
 fn permits_are_not_requested_from_builds_without_them() {
-    let (mut core, _) = two();
+    let (mut core, _) = two_gateways();
     let build = Build { version: "0.0.9".to_owned(), commit: None, form: 4 };
     let incarnation = serving(2).incarnation;
     core.handle(Event::PeerGreeted { address: address(2), incarnation, build }, ms(150));
-    says(&mut core, &engine(1), names(4.0), 2_000);
-    says(&mut core, &engine(2), names(4.0), 2_000);
-    let sent = press(&mut core, 1, 2_010, 6_010, 20);
+    receive_status(&mut core, &engine(1), announces(4.0), 2_000);
+    receive_status(&mut core, &engine(2), announces(4.0), 2_000);
+    let sent = submit_load(&mut core, 1, 2_010, 6_010, 20);
     // Each of the two gateways sends half of the limit.
     assert!(sent.len() >= 10 && sent.len() <= 16, "{}", sent.len());
 }
--- a/tests/direct_links.rs
+++ b/tests/direct_links.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use directenv::gateway::{Idle, Says, new_core};
+use directenv::gateway::{Heartbeat, Idle, new_core};
 use directenv::{address, ms};
 use stackmast::actor::{Core, mailbox, run};
 use stackmast::direct::event::{Action, Event};
@@ -24,7 +24,7 @@
 fn beat(from: SocketAddr, heartbeat: u64) -> Event {
     let state = MemberState::Serving;
     let member = Member { address: from, incarnation: 1, heartbeat, state, capacity: 1_000 };
-    let message = Says { members: vec![member], ..Says::default() }.message();
+    let message = Heartbeat { members: vec![member], ..Heartbeat::default() }.message();
     Event::PeerMessage { from, message }
 }
 
@@ -40,10 +40,10 @@
     assert!(!is_cut(&core.handle(Event::Tick, ms(1_300))), "once");
 }
 
-#[test_case(1, 2; "alone, in time by itself")]
+#[test_case(1, 2; "alone")]
 #[test_case(8, 2; "eight")]
-#[test_case(28, 7; "many, the first to ask again tells all")]
-#[test_case(580, 8; "at most that")]
+#[test_case(28, 7; "many: the first poll informs all")]
+#[test_case(580, 8; "the maximum")]
 fn the_watch_timeout_grows_with_the_number_of_gateways(gateways: u64, seconds: u64) {
     let mut core = new_core();
     for other in 1..gateways {
@@ -51,14 +51,14 @@
     }
     assert_eq!(core.watch_timeout(), Duration::from_secs(seconds));
     core.handle(Event::Tick, ms(1_001));
-    assert_eq!(core.watch_timeout(), Duration::from_secs(2), "nobody is heard any more");
+    assert_eq!(core.watch_timeout(), Duration::from_secs(2), "no peer is up any more");
 }
 
 #[test_case(1, 250; "alone")]
 #[test_case(4, 250; "four")]
 #[test_case(30, 1_800; "thirty")]
-#[test_case(103, 6_180; "many: one of them goes on every 60 ms")]
-#[test_case(580, 8_000; "at most that")]
+#[test_case(103, 6_180; "many: one of them polls every 60 ms")]
+#[test_case(580, 8_000; "the maximum")]
 fn the_watch_delay_grows_with_the_number_of_gateways(gateways: u64, longest: u64) {
     let mut core = new_core();
     for other in 1..gateways {
--- a/tests/direct_members.rs
+++ b/tests/direct_members.rs
@@ -64,7 +64,7 @@
     assert_eq!(members.owner("stages", &[]).expect("the one that serves").address, address(3));
     members.merge(&[member(3, 5, 2, leaving)], ms(20));
     assert!(members.owner("stages", &[]).is_some(), "one of those that leave");
-    assert!(!others_serve(&members, ms(5_000)), "nobody serves");
+    assert!(!others_serve(&members, ms(5_000)), "no gateway serves");
 }
 
 #[test]
@@ -73,7 +73,7 @@
     assert!(members.expire(ms(900)).is_empty());
     assert_eq!(members.expire(ms(1_000)).len(), 2);
     assert_eq!(members.up().count(), 0);
-    assert_eq!(members.known_count(), 3, "the budget's share does not grow by silence");
+    assert_eq!(members.known_count(), 3, "silence does not raise the share of the budget");
     let back = members.merge(&[member(2, 5, 9, MemberState::Serving)], ms(1_100));
     assert_eq!(back.joined.len(), 1);
 }
@@ -92,7 +92,7 @@
     assert_eq!(
         members.merge(&[next_life], ms(400)).joined.len(),
         1,
-        "also where the clock stepped back"
+        "also if the clock was set back"
     );
 }
 
@@ -101,7 +101,7 @@
     let mut members = three();
     assert!(members.suspect(address(2), 5, ms(100)));
     assert!(members.suspect(address(3), 5, ms(100)));
-    assert!(!members.suspect(address(3), 4, ms(100)), "another life's connection");
+    assert!(!members.suspect(address(3), 4, ms(100)), "the connection of another incarnation");
     members.merge(&[member(2, 5, 2, MemberState::Serving)], ms(300));
     assert_eq!(members.next_suspicion(), Some(ms(700)));
     assert!(members.expire(ms(699)).is_empty());
@@ -124,7 +124,7 @@
     let mut rng = StdRng::seed_from_u64(1);
     assert_eq!(members.next_heartbeat(&mut rng), [address(2)]);
     members.merge(&[member(2, 1, 1, MemberState::Starting)], ms(0));
-    assert_eq!(members.next_heartbeat(&mut rng), [address(2)], "as a member now, once");
+    assert_eq!(members.next_heartbeat(&mut rng), [address(2)], "as a member now, only once");
 }
 
 fn entry(number: u16, revision: u64) -> Revised {
@@ -156,7 +156,7 @@
     }
     let ids = |d: &Documents| d.endpoints().map(|e| e.id.clone()).collect::<Vec<_>>();
     assert_eq!(ids(&forwards), ["engine-2".into(), "engine-3".into()]);
-    assert_eq!(ids(&backwards), ids(&forwards), "also what is gone before it was ever seen");
+    assert_eq!(ids(&backwards), ids(&forwards), "also an entry removed before it was received");
     assert_eq!(forwards.seen(), backwards.seen());
 }
 
@@ -193,7 +193,11 @@
     assert!(!back.is_empty());
     assert_eq!(documents.next_expiry(), Some(ms(7_000)));
     assert!(documents.expire(ms(6_999)).is_empty());
-    assert_eq!(documents.expire(ms(7_000)).endpoints.len(), 3, "what is not back is gone");
+    assert_eq!(
+        documents.expire(ms(7_000)).endpoints.len(),
+        3,
+        "entries that are not renewed are removed"
+    );
     assert_eq!(ids(&documents), ["engine-1", "engine-2", "engine-6"]);
 }
 
@@ -204,7 +208,10 @@
 fn an_outdated_peer_does_not_restore_a_removed_endpoint() {
     let mut documents = Documents::default();
     documents.merge_list(vec![entry(1, 3)], position(8), ms(0));
-    assert!(documents.merge(vec![entry(2, 7)], ms(1)).is_empty(), "it had left by then");
+    assert!(
+        documents.merge(vec![entry(2, 7)], ms(1)).is_empty(),
+        "the peer's entry is older than the list"
+    );
     assert_eq!(ids(&documents), ["engine-1"]);
     documents.merge(vec![entry(2, 9)], ms(2));
     assert_eq!(ids(&documents), ["engine-1", "engine-2"], "it is back");
@@ -219,7 +226,7 @@
     documents.merge(vec![gone(2, 14)], ms(5_100));
     assert_eq!(documents.entry_state("engine-2"), EntryState::Expired);
     let expired = documents.expire(ms(7_000));
-    assert!(expired.endpoints.contains(&"engine-2".into()), "whoever uses it is told");
+    assert!(expired.endpoints.contains(&"engine-2".into()), "the removal is reported");
     assert_eq!(ids(&documents), ["engine-1", "engine-6"]);
 }
 
@@ -239,8 +246,8 @@
     assert_eq!(documents.entry_state("engine-1"), EntryState::Removed);
 }
 
-#[test_case(0, &[2]; "the publisher was never away")]
-#[test_case(500, &[2]; "it was away for less than an entry lasts")]
+#[test_case(0, &[2]; "the publisher was always available")]
+#[test_case(500, &[2]; "it was unavailable for less than the lifetime of an entry")]
 fn a_single_removed_entry_is_removed_at_once(absence: u64, numbers: &[u16]) {
     let mut documents = Documents::default();
     documents.merge_list((1..=6).map(|n| entry(n, u64::from(n))).collect(), position(6), ms(0));
@@ -327,13 +334,13 @@
     assert_eq!(makers.free_bytes("m", 1_000, ms(0)), 1_000);
     makers.no_result_memory(&"m".into(), 1_000, ms(0));
     assert_eq!(makers.free_bytes("m", 1_000, ms(0)), 0);
-    assert!(makers.free_bytes("m", 1_000, ms(2_500)) >= 400, "what others keep runs out");
+    assert!(makers.free_bytes("m", 1_000, ms(2_500)) >= 400, "the usage of others decays");
 }
 
 #[test_case(&["id: 1\ndata: a\n\nid: 2\nda", "ta: b\n\n"], &["id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"], Some("2"); "cut within an event")]
 #[test_case(&["data: a\n\ndata: b\n\n"], &["data: a\n\ndata: b\n\n"], None; "without ids")]
 #[test_case(&["id: 9\ndata: a\n\nid: 10\ndata"], &["id: 9\ndata: a\n\n"], Some("9"); "torn at the end")]
-#[test_case(&["id: 4\r\ndata: a\r\n\r\n"], &["id: 4\r\ndata: a\r\n\r\n"], Some("4"); "with returns")]
+#[test_case(&["id: 4\r\ndata: a\r\n\r\n"], &["id: 4\r\ndata: a\r\n\r\n"], Some("4"); "with carriage returns")]
 fn only_complete_events_are_passed_on(chunks: &[&str], expected: &[&str], last: Option<&str>) {
     let mut splitter = EventSplitter::default();
     let events: Vec<_> = chunks.iter().filter_map(|c| splitter.push(c.as_bytes())).collect();
--- a/tests/direct_orders.rs
+++ b/tests/direct_orders.rs
@@ -6,7 +6,7 @@
 
 mod directenv;
 
-use directenv::orders::{Fleet, MOST_IN_A_SECOND, Seen};
+use directenv::orders::{Fleet, MAX_PER_SECOND, Stats};
 use test_case::test_case;
 
 const SCHEDULES: u64 = 30;
@@ -26,34 +26,34 @@
     }
 }
 
-#[test_case(1_079; "an order is taken back while the endpoints that it was for are cold, 23 in a second")]
-#[test_case(2_161; "a gateway that starts has its list from a peer that was cut off, 51 in a second")]
-#[test_case(1_441; "endpoints restart, unheard of, in a data centre that is evacuated, 43 in a second")]
-#[test_case(1_284; "endpoints lapse that could not be reached, and come back, 58 in a second")]
+#[test_case(1_079; "an order is withdrawn while its endpoints are cold, 23 in a second")]
+#[test_case(2_161; "a starting gateway gets its list from a peer that was cut off, 51 in a second")]
+#[test_case(1_441; "endpoints restart unnoticed in an evacuated data centre, 43 in a second")]
+#[test_case(1_284; "entries of unreachable endpoints expire and return, 58 in a second")]
 fn earlier_overloads_of_cold_endpoints_do_not_recur(seed: u64) {
     let mut fleet = Fleet::new(seed, gateways(seed));
     fleet.run();
-    assert!(fleet.seen.most_in_a_second <= MOST_IN_A_SECOND, "{:?}", fleet.seen);
+    assert!(fleet.stats.max_per_second <= MAX_PER_SECOND, "{:?}", fleet.stats);
 }
 
 #[test]
 fn cold_endpoints_are_not_overloaded_and_evacuated_ones_get_no_calls() {
     let first = number("STACKMAST_SEED", 1);
     let count = number("STACKMAST_SCHEDULES", SCHEDULES);
-    let mut all = Seen::default();
+    let mut all = Stats::default();
     for seed in first..first + count {
         let mut fleet = Fleet::new(seed, gateways(seed));
         fleet.run();
-        let seen = fleet.seen;
+        let stats = fleet.stats;
         assert!(
-            seen.most_in_a_second <= MOST_IN_A_SECOND && seen.late_calls == 0,
-            "seed {seed}, {} gateways: {seen:?}",
+            stats.max_per_second <= MAX_PER_SECOND && stats.late_calls == 0,
+            "seed {seed}, {} gateways: {stats:?}",
             gateways(seed)
         );
-        all.calls += seen.calls;
-        all.cold_calls += seen.cold_calls;
-        all.refused += seen.refused;
-        all.most_in_a_second = all.most_in_a_second.max(seen.most_in_a_second);
+        all.calls += stats.calls;
+        all.cold_calls += stats.cold_calls;
+        all.refused += stats.refused;
+        all.max_per_second = all.max_per_second.max(stats.max_per_second);
     }
     println!("{count} schedules from seed {first}, 0 breaches: {all:?}");
     assert!(all.cold_calls > 0 && all.refused > 0, "the checks are not idle");
--- a/tests/direct_pauses.rs
+++ b/tests/direct_pauses.rs
@@ -6,8 +6,9 @@
 use std::time::Duration;
 
 use directenv::gateway::{calls, configured, incoming, publish, refusal, submit};
-use directenv::said::{
-    LEAVES, SECONDS, batches, engine, freed, gets_any, made, pause_for, routes, says, staged,
+use directenv::status_headers::{
+    LEAVING, SECONDS, batches, engine, freed, is_chosen, made, pause_for, receive_status, routes,
+    staged,
 };
 use directenv::{address, deployment, endpoint, job, ms, table};
 use stackmast::actor::Core;
@@ -26,13 +27,13 @@
     let mut core = configured(routes());
     let actions = submit(&mut core, 1, incoming("staged", vec![1, 1]), ms(0));
     let (call, maker) = batches(&actions)[0].clone();
-    says(&mut core, &maker, pause_for(ms(2 * SECONDS)), 10);
+    receive_status(&mut core, &maker, pause_for(ms(2 * SECONDS)), 10);
     core.handle(Event::BatchEnded { call, outcome: made("h/1") }, ms(200));
     let mut actions = core.handle(Event::CallerDisconnected { caller: 1 }, ms(210));
     for at in (220..=2_000).step_by(20) {
         actions.extend(core.handle(Event::Tick, ms(at)));
     }
-    assert!(freed(&actions).is_empty(), "it wants nothing until 2 s");
+    assert!(freed(&actions).is_empty(), "paused until 2 s");
     assert!(core.next_wakeup().is_some());
     let after: Vec<_> =
         (2_010..=2_600).step_by(20).flat_map(|at| core.handle(Event::Tick, ms(at))).collect();
@@ -45,19 +46,15 @@
     let mut core = configured(routes());
     let actions = submit(&mut core, 1, incoming("staged", vec![1, 1]), ms(0));
     let (call, maker) = batches(&actions)[0].clone();
-    says(&mut core, &maker, LEAVES, 10);
+    receive_status(&mut core, &maker, LEAVING, 10);
     core.handle(Event::BatchEnded { call, outcome: made("h/1") }, ms(200));
     let actions = core.handle(Event::CallerDisconnected { caller: 1 }, ms(210));
-    assert_eq!(
-        freed(&actions),
-        [maker.id.to_string()],
-        "it is no new work, and room for calls there"
-    );
+    assert_eq!(freed(&actions), [maker.id.to_string()], "freeing is no new work");
 }
 
 #[test]
 fn pieces_avoid_leaving_and_paused_endpoints() {
-    for statement in [LEAVES, pause_for(ms(9 * SECONDS))] {
+    for statement in [LEAVING, pause_for(ms(9 * SECONDS))] {
         let mut core = configured(routes());
         let mut callers = 1..;
         let mut press = |core: &mut GatewayCore, at| {
@@ -71,7 +68,7 @@
         };
         let first = press(&mut core, 0)[0].clone();
         let number = if first == "first-1" { 1 } else { 2 };
-        says(&mut core, &endpoint("first", number), statement, 10);
+        receive_status(&mut core, &endpoint("first", number), statement, 10);
         for at in (20..3_000).step_by(100) {
             assert!(!press(&mut core, at).contains(&first), "{statement:?}");
         }
@@ -90,22 +87,23 @@
         })
         .collect();
     assert_eq!(sent.len(), 2);
-    says(&mut core, &endpoint("first", 1), pause_for(ms(20 * SECONDS)), 10);
-    let actions = says(&mut core, &endpoint("first", 2), pause_for(ms(30 * SECONDS)), 20);
-    let refusal = refusal(&actions).expect("it can't be made");
+    receive_status(&mut core, &endpoint("first", 1), pause_for(ms(20 * SECONDS)), 10);
+    let actions = receive_status(&mut core, &endpoint("first", 2), pause_for(ms(30 * SECONDS)), 20);
+    let refusal = refusal(&actions).expect("no endpoint before the deadline");
     assert!(refusal.not_run);
     assert!(refusal.retry_after >= ms(19_900) && refusal.retry_after <= ms(21_500));
     // New requests are refused in the same way.
     let actions = submit(&mut core, 9, incoming("staged", vec![4, 1]), ms(100));
-    let refusal = directenv::gateway::refusal(&actions).expect("nor can this");
+    let refusal =
+        directenv::gateway::refusal(&actions).expect("no endpoint before the deadline, either");
     assert!(refusal.not_run && refusal.retry_after >= ms(19_800), "{:?}", refusal.retry_after);
 }
 
 #[test]
 fn stages_start_if_the_engines_pause_no_longer_than_the_stages_take() {
     let mut core = configured(routes());
-    says(&mut core, &engine(1), pause_for(ms(300)), 0);
-    says(&mut core, &engine(2), pause_for(ms(300)), 0);
+    receive_status(&mut core, &engine(1), pause_for(ms(300)), 0);
+    receive_status(&mut core, &engine(2), pause_for(ms(300)), 0);
     let actions = submit(&mut core, 1, incoming("staged", vec![1, 1]), ms(0));
     assert_eq!(batches(&actions).len(), 1, "two calls of 240 ms come before the engines");
     let actions = submit(&mut core, 2, incoming("r", Vec::new()), ms(0));
@@ -115,8 +113,8 @@
 #[test]
 fn paused_and_leaving_endpoints_get_no_report_requests() {
     let mut core = configured(routes());
-    says(&mut core, &endpoint("first", 1), pause_for(ms(9 * SECONDS)), 10);
-    says(&mut core, &endpoint("first", 2), LEAVES, 10);
+    receive_status(&mut core, &endpoint("first", 1), pause_for(ms(9 * SECONDS)), 10);
+    receive_status(&mut core, &endpoint("first", 2), LEAVING, 10);
     // The first job after a while requests reports from all endpoints.
     let actions = submit(&mut core, 1, incoming("staged", vec![0, 1]), ms(3_000));
     let asked = |a: &Action| match a {
@@ -134,7 +132,7 @@
         let actions = submit(&mut core, 1, incoming("staged", vec![1, 1]), ms(0));
         let (call, maker) = batches(&actions)[0].clone();
         if let Some(statement) = statement {
-            says(&mut core, &maker, statement, 10);
+            receive_status(&mut core, &maker, statement, 10);
         }
         let outcome = BatchOutcome::Pieces(vec![PieceOutcome::NoRoom]);
         let actions = core.handle(Event::BatchEnded { call, outcome }, ms(300));
@@ -145,19 +143,19 @@
 
 #[test]
 fn the_cold_limit_applies_to_pieces_and_requests() {
-    const BEARS: ColdStart = ColdStart { per_second: 10.0, duration: Duration::from_secs(3) };
+    const COLD_LIMIT: ColdStart = ColdStart { per_second: 10.0, duration: Duration::from_secs(3) };
     let mut deployment = deployment(9, routes());
-    deployment.pools.iter_mut().for_each(|pool| pool.cold = Some(BEARS));
+    deployment.pools.iter_mut().for_each(|pool| pool.cold = Some(COLD_LIMIT));
     let mut core = configured(routes());
     publish(&mut core, deployment, ms(0));
     submit(&mut core, 1, incoming("staged", vec![1, 1]), ms(3_000));
     for (number, service) in [(1, "first"), (2, "first"), (1, "engine"), (2, "engine")] {
         let cold = Statement { cold: Some(ms(2 * SECONDS)), ..Statement::default() };
-        let told = says(&mut core, &endpoint(service, number), cold, 3_010);
+        let sent_departures = receive_status(&mut core, &endpoint(service, number), cold, 3_010);
         let noted = |a: &&Action| matches!(a, Action::Log(LogEvent::EndpointStatus { .. }));
-        assert_eq!(told.iter().filter(noted).count(), 1);
-        let again = says(&mut core, &endpoint(service, number), cold, 3_020);
-        assert_eq!(again.iter().filter(noted).count(), 0, "told once");
+        assert_eq!(sent_departures.iter().filter(noted).count(), 1);
+        let again = receive_status(&mut core, &endpoint(service, number), cold, 3_020);
+        assert_eq!(again.iter().filter(noted).count(), 0, "logged once");
     }
     let mut sent = 0;
     for caller in 100..130 {
@@ -168,15 +166,15 @@
     }
     assert!(sent <= 4, "{sent}: one each at most in 0.03 s");
     let warm = Statement { cold: Some(Duration::ZERO), ..Statement::default() };
-    says(&mut core, &engine(1), warm, 3_200);
-    assert!(gets_any(&mut core, "engine-1", 900, 3_210), "it told that it is warm");
+    receive_status(&mut core, &engine(1), warm, 3_200);
+    assert!(is_chosen(&mut core, "engine-1", 900, 3_210), "it announced that it is warm");
 }
 
 #[test]
 fn reports_of_another_incarnation_do_not_end_a_pause() {
     let mut core = configured(routes());
     submit(&mut core, 1, incoming("staged", vec![1, 1]), ms(0));
-    says(&mut core, &endpoint("first", 1), pause_for(ms(5 * SECONDS)), 10);
+    receive_status(&mut core, &endpoint("first", 1), pause_for(ms(5 * SECONDS)), 10);
     let report = BatchReport { free_bytes: 1_000, waiting: 0, incarnation: 99 };
     let event = Event::ReportReceived { endpoint: "first-1".into(), report, requested_at: ms(15) };
     core.handle(event, ms(20));
@@ -215,8 +213,8 @@
     let mut core = configured(routes());
     let actions = submit(&mut core, 1, incoming("staged", vec![1, 1]), ms(0));
     assert_eq!(batches(&actions).len(), 1);
-    says(&mut core, &engine(1), pause_for(ms(20 * SECONDS)), 10);
-    let actions = says(&mut core, &engine(2), pause_for(ms(9 * SECONDS)), 20);
+    receive_status(&mut core, &engine(1), pause_for(ms(20 * SECONDS)), 10);
+    let actions = receive_status(&mut core, &engine(2), pause_for(ms(9 * SECONDS)), 20);
     let refusal = refusal(&actions).expect("it waits for 5 s");
     assert_eq!((refusal.reason, refusal.not_run), (Refused::AllPaused, true));
     assert!(refusal.retry_after >= ms(9 * SECONDS) && refusal.retry_after <= ms(11 * SECONDS));
--- a/tests/direct_poison.rs
+++ b/tests/direct_poison.rs
@@ -14,7 +14,7 @@
 #[test_case("POST", "/a", b"b" => true; "the same")]
 #[test_case("PUT", "/a", b"b" => false; "another method")]
 #[test_case("POST", "/a?c=d", b"b" => false; "another query")]
-#[test_case("POST", "/ab", b"" => false; "the same bytes, cut elsewhere")]
+#[test_case("POST", "/ab", b"" => false; "the same bytes, split elsewhere")]
 #[test_case("POST", "/a", b"c" => false; "another body")]
 fn the_fingerprint_depends_on_the_content(method: &str, target: &str, body: &[u8]) -> bool {
     Fingerprint::of_content(method, target, body) == Fingerprint::of_content("POST", "/a", b"b")
@@ -112,7 +112,7 @@
     assert_ne!(late.digest(), suspects.digest());
     late.merge(&suspects.announcements(ms(0)), ms(50));
     assert_eq!(late.digest(), suspects.digest());
-    assert!(late.has_changes(), "who hears it tells it on");
+    assert!(late.has_changes(), "received suspects are passed on");
     late.merge(&suspects.announcements(ms(0)), ms(60));
     for _ in 0..4 {
         late.take_changes(ms(0));
@@ -129,7 +129,7 @@
     let told = suspects.announcements(RETENTION);
     let mut other = Suspects::default();
     other.merge(&told, ms(0));
-    assert!(other.is_empty(), "or two gateways would keep it for each other for ever");
+    assert!(other.is_empty(), "or two gateways would keep it alive for ever");
 }
 
 #[test]
@@ -175,7 +175,7 @@
         }
         let before = one.digest();
         one.merge(&told_other, ms(0));
-        prop_assert_eq!(one.digest(), before, "telling twice changes nothing");
+        prop_assert_eq!(one.digest(), before, "merging twice changes nothing");
     }
 }
 
--- a/tests/direct_pulls.rs
+++ b/tests/direct_pulls.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use directenv::gateway::Says;
+use directenv::gateway::Heartbeat;
 use directenv::{address, deployment, endpoint, ms, position, route};
 use stackmast::actor::Core;
 use stackmast::direct::core::{GatewayCore, Setup};
@@ -59,8 +59,9 @@
         state: MemberState::Serving,
         capacity: if port == 4 { 500 } else { 90 },
     };
-    let says = Says { members: vec![member], seen, complete: true, ..Says::default() };
-    let message = says.message();
+    let heartbeat_fields =
+        Heartbeat { members: vec![member], seen, complete: true, ..Heartbeat::default() };
+    let message = heartbeat_fields.message();
     Event::PeerMessage { from: address(port), message }
 }
 
@@ -180,7 +181,7 @@
 }
 
 #[test_case(&|| Event::PeerMessage { from: address(4), message: PeerMessage::NoConfiguration }; "that refuses")]
-#[test_case(&|| Event::ConfigurationPullAborted { from: address(4), pull: 0 }; "that breaks off")]
+#[test_case(&|| Event::ConfigurationPullAborted { from: address(4), pull: 0 }; "that aborts")]
 fn another_peer_is_asked_after_a_peer(event: &dyn Fn() -> Event) {
     let mut core = gateway();
     assert_eq!(asked(&mut core, NEWER, 2_000, 2_300).len(), 1);
@@ -191,7 +192,7 @@
 }
 
 // The end of an abandoned transfer must not end a later one from the same peer.
-#[test_case(1, true; "the pull that is on its way")]
+#[test_case(1, true; "the current pull")]
 #[test_case(7, false; "another pull")]
 fn only_the_end_of_the_current_pull_starts_another(pull: u64, is_asked: bool) {
     let mut core = gateway();
--- a/tests/direct_quarantine.rs
+++ b/tests/direct_quarantine.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use directenv::gateway::{
-    calls, configured, good, gossip, hear_of, incoming, listed, refusal, serving, submit,
+    calls, configured, good, gossip, incoming, listed, receive_gossip, refusal, serving, submit,
 };
 use directenv::{address, endpoint, ms, route};
 use stackmast::actor::Core;
@@ -55,7 +55,7 @@
     actions
 }
 
-fn told(actions: &[Action]) -> Vec<&PeerMessage> {
+fn sent_messages(actions: &[Action]) -> Vec<&PeerMessage> {
     let messages = actions.iter().filter_map(|a| match a {
         Action::Send { message, .. } | Action::Broadcast { message, .. } => Some(message),
         _ => None,
@@ -66,11 +66,15 @@
 #[test]
 fn the_fourth_attempt_is_refused_as_not_run_with_a_retry_time() {
     let mut core = core();
-    hear_of(&mut core, vec![serving(2)], ms(500));
+    receive_gossip(&mut core, vec![serving(2)], ms(500));
     for caller in 1..=3 {
         let actions = crash(&mut core, caller, ms(1_000 * caller));
         let is_news = |m: &&PeerMessage| matches!(m, PeerMessage::Suspects(_));
-        assert_eq!(told(&actions).into_iter().filter(is_news).count(), 1, "others hear at once");
+        assert_eq!(
+            sent_messages(&actions).into_iter().filter(is_news).count(),
+            1,
+            "sent to the peers at once"
+        );
     }
     let refusal = refusal(&submit(&mut core, 4, poison("r", vec![]), ms(4_000))).expect("refused");
     assert_eq!((refusal.reason, refusal.not_run), (Refused::Poison, true));
@@ -117,27 +121,27 @@
     assert!(refusal(&actions).is_none());
     let message = PeerMessage::Suspects(known().announcements(ms(0)));
     let actions = core.handle(Event::PeerMessage { from: address(2), message }, ms(1_050));
-    let refusal = refusal(&actions).expect("nothing can come of it");
+    let refusal = refusal(&actions).expect("it can't be served");
     assert_eq!((refusal.reason, refusal.not_run), (Refused::Poison, true));
-    assert_eq!(core.in_flight(), 0, "its job is over, too");
+    assert_eq!(core.in_flight(), 0, "its job is released, too");
 }
 
 #[test]
 fn a_gateway_asks_new_members_for_suspects_and_gets_only_missing_ones() {
     let mut core = core();
     core.handle(Event::Tick, ms(3_000));
-    hear_of(&mut core, vec![serving(2)], ms(3_050));
+    receive_gossip(&mut core, vec![serving(2)], ms(3_050));
     let actions = core.handle(Event::Tick, ms(3_250));
     let asks = |m: &&PeerMessage| matches!(m, PeerMessage::AskSuspects(0));
-    assert_eq!(told(&actions).into_iter().filter(asks).count(), 1);
+    assert_eq!(sent_messages(&actions).into_iter().filter(asks).count(), 1);
     let ask = |core: &mut GatewayCore, digest: u64| {
         let message = PeerMessage::AskSuspects(digest);
         core.handle(Event::PeerMessage { from: address(2), message }, ms(3_300))
     };
     let tells = |actions: &[Action]| {
-        told(actions).into_iter().any(|m| matches!(m, PeerMessage::Suspects(_)))
+        sent_messages(actions).into_iter().any(|m| matches!(m, PeerMessage::Suspects(_)))
     };
-    assert!(!tells(&ask(&mut core, 0)), "both know nothing");
+    assert!(!tells(&ask(&mut core, 0)), "neither has suspects");
     let message = PeerMessage::Suspects(known().announcements(ms(0)));
     core.handle(Event::PeerMessage { from: address(2), message }, ms(3_310));
     assert!(tells(&ask(&mut core, 0)));
@@ -152,7 +156,10 @@
         let heard = Member { heartbeat: beat + 1, ..serving(2) };
         let event = Event::PeerMessage { from: address(2), message: gossip(vec![heard]) };
         let actions = core.handle(event, ms(beat * 200));
-        asked += told(&actions).iter().filter(|m| matches!(m, PeerMessage::AskSuspects(_))).count();
+        asked += sent_messages(&actions)
+            .iter()
+            .filter(|m| matches!(m, PeerMessage::AskSuspects(_)))
+            .count();
     }
     assert!((2..=4).contains(&asked), "about every two seconds: {asked} times in six");
 }
--- a/tests/direct_requests.rs
+++ b/tests/direct_requests.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use directenv::gateway::{
-    Says, answered, calls, configured, good, gossip, hear_of, incoming, is_delivered, listed,
-    new_core, publish, refusal, serving, setup, submit,
+    Heartbeat, answered, calls, configured, good, gossip, incoming, is_delivered, listed, new_core,
+    publish, receive_gossip, refusal, serving, setup, submit,
 };
 use directenv::{address, deployment, endpoint, ms, position, route};
 use stackmast::actor::Core;
@@ -58,7 +58,7 @@
         publish(&mut core, deployment(1, vec![route("r", Repeat::AtMostOnce, &[])]), ms(20));
     let waited =
         |a: &&Action| matches!(a, Action::Log(LogEvent::Waited { waited_ms: 20, known: true, .. }));
-    assert_eq!(actions.iter().filter(waited).count(), 1, "on-call is told");
+    assert_eq!(actions.iter().filter(waited).count(), 1, "logged once");
     let calls = calls(&actions);
     assert_eq!(calls.len(), 1, "not the one whose caller left");
     assert_eq!(calls[0].1.timeout, ms(4_980), "counted from when it came");
@@ -173,7 +173,7 @@
     let mut spread = route("r", Repeat::AtMostOnce, &[]);
     spread.streams = true;
     let mut core = configured(vec![spread]);
-    hear_of(&mut core, (2..=50).map(serving).collect(), ms(1));
+    receive_gossip(&mut core, (2..=50).map(serving).collect(), ms(1));
     let mut counts = std::collections::BTreeMap::new();
     for caller in 1..=4 {
         let prompt = Generation {
@@ -203,7 +203,7 @@
 }
 
 #[test_case(AnswerProof { status: 503, not_run: true, ..AnswerProof::default() }; "full")]
-#[test_case(AnswerProof { status: 421, from_other_endpoint: true, ..AnswerProof::default() }; "another life")]
+#[test_case(AnswerProof { status: 421, from_other_endpoint: true, ..AnswerProof::default() }; "another incarnation")]
 fn a_request_proved_not_run_goes_to_another_endpoint(proof: AnswerProof) {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
     let (attempt, first) =
@@ -212,7 +212,7 @@
     let (attempt, second) = calls(&actions)[0].clone();
     assert_ne!(first.endpoint.id, second.endpoint.id);
     let actions = core.handle(answered(attempt, proof), ms(10));
-    assert!(refusal(&actions).expect("nowhere left").not_run, "503 may be said");
+    assert!(refusal(&actions).expect("nowhere left").not_run, "not_run is proved");
 }
 
 #[test]
@@ -256,7 +256,7 @@
 }
 
 #[test_case(500, true; "a server error")]
-#[test_case(504, false; "time that was over")]
+#[test_case(504, false; "a timeout of the endpoint")]
 #[test_case(404, false; "an answer")]
 fn an_endpoint_with_server_errors_is_avoided(status: u16, is_avoided: bool) {
     let mut core = configured(vec![route("r", Repeat::AtMostOnce, &[])]);
@@ -275,7 +275,7 @@
 }
 
 #[test_case(true, true; "resumed where the route allows it")]
-#[test_case(false, false; "broken off otherwise")]
+#[test_case(false, false; "aborted otherwise")]
 fn a_broken_stream_is(resumable: bool, goes_on: bool) {
     let mut streaming = route("r", Repeat::AtMostOnce, &[]);
     streaming.streams = true;
@@ -316,7 +316,7 @@
 fn beside_an_owner(route: &Route) -> (GatewayCore, u16) {
     for port in 2..20 {
         let mut core = configured(vec![route.clone()]);
-        hear_of(&mut core, vec![serving(port)], ms(1));
+        receive_gossip(&mut core, vec![serving(port)], ms(1));
         let actions = submit(&mut core, 1, incoming("r", vec![1, 1]), ms(2));
         let is_submitted = |a: &Action| matches!(a, Action::Send { to, message: PeerMessage::Submit(_) } if *to == address(port));
         if actions.iter().any(is_submitted) {
@@ -367,7 +367,7 @@
     let (mut core, owner) = with_one_stage_made();
     let mut restarted = serving(owner.port());
     (restarted.incarnation, restarted.state) = (6, MemberState::Starting);
-    let message = Says { members: vec![restarted], ..Says::default() }.message();
+    let message = Heartbeat { members: vec![restarted], ..Heartbeat::default() }.message();
     let actions = core.handle(Event::PeerMessage { from: owner, message }, ms(400));
     assert_eq!(pieces_sent(&actions), [(1, 1)]);
 }
@@ -383,17 +383,17 @@
         _ => Event::PeerOutboundFailed { address: owner },
     };
     let actions = core.handle(event, ms(400));
-    assert!(pieces_sent(&actions).is_empty(), "nobody else begins it");
+    assert!(pieces_sent(&actions).is_empty(), "no other gateway starts it");
     let submitted = actions.iter().any(|a| match a {
         Action::Send { to, message: PeerMessage::Submit(job) } => {
             *to == owner && job.id == job_of_one() && job.stages[0].done.len() == 1
         }
         _ => false,
     });
-    assert!(submitted, "what was on the way is asked for again");
+    assert!(submitted, "messages in transit are requested again");
     let mut alive = serving(owner.port());
     alive.heartbeat = 2;
-    hear_of(&mut core, vec![alive], ms(600));
+    receive_gossip(&mut core, vec![alive], ms(600));
     assert!(pieces_sent(&core.handle(Event::Tick, ms(1_050))).is_empty());
 }
 
@@ -402,7 +402,7 @@
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10), ("second", &[0], 10)]);
     let (mut core, port) = beside_an_owner(&route);
     let actions = core.handle(Event::Tick, ms(700));
-    assert!(pieces_sent(&actions).is_empty(), "its timer is as late as the answer");
+    assert!(pieces_sent(&actions).is_empty(), "the answer may be as late as the timer");
     let accepted = PeerMessage::Accepted(job_of_one());
     core.handle(Event::PeerMessage { from: address(port), message: accepted }, ms(701));
     assert!(pieces_sent(&core.handle(Event::Tick, ms(955))).is_empty());
@@ -414,8 +414,8 @@
     let (mut core, port) = beside_an_owner(&route);
     let actions = core.handle(Event::Tick, ms(260));
     let is_released = |a: &Action| matches!(a, Action::Send { to, message: PeerMessage::Release(_) } if *to == address(port));
-    assert!(actions.iter().any(is_released), "the silent one is told that it need not");
-    assert_eq!(pieces_sent(&actions), [(0, 0)], "and the next one begins");
+    assert!(actions.iter().any(is_released), "the silent owner is released from the job");
+    assert_eq!(pieces_sent(&actions), [(0, 0)], "and the next owner starts");
 }
 
 #[test]
--- a/tests/direct_restarts.rs
+++ b/tests/direct_restarts.rs
@@ -22,7 +22,7 @@
 use test_case::test_case;
 
 /// An endpoint in the given incarnation.
-fn living(service: &str, number: u16, incarnation: u64) -> Arc<Endpoint> {
+fn with_incarnation(service: &str, number: u16, incarnation: u64) -> Arc<Endpoint> {
     Arc::new(Endpoint { incarnation, ..(*endpoint(service, number)).clone() })
 }
 
@@ -30,7 +30,7 @@
     Revised {
         position: position(revision),
         created_revision: 0,
-        document: Document::Endpoint(living("engine", 1, incarnation)),
+        document: Document::Endpoint(with_incarnation("engine", 1, incarnation)),
     }
 }
 
@@ -38,7 +38,7 @@
 fn a_new_incarnation_differs_from_a_changed_entry() {
     let mut documents = Documents::default();
     assert!(documents.merge(vec![entry(7, 1)], ms(0)).restarted.is_empty(), "it is new");
-    let mut changed = (*living("engine", 1, 7)).clone();
+    let mut changed = (*with_incarnation("engine", 1, 7)).clone();
     changed.slots += 1;
     let changed = Revised {
         position: position(2),
@@ -76,7 +76,7 @@
 }
 
 fn restart(core: &mut GatewayCore, revision: u64, now: Duration) -> Vec<Action> {
-    let documents = listed(&[living("engine", 1, 9)], revision);
+    let documents = listed(&[with_incarnation("engine", 1, 9)], revision);
     core.handle(Event::Published { documents, snapshot_at: None }, now)
 }
 
@@ -86,7 +86,7 @@
     let actions = restart(&mut core, 5, ms(50));
     let noted = |a: &&Action| matches!(a, Action::Log(LogEvent::Restarted { incarnation: 9, .. }));
     assert_eq!(actions.iter().filter(noted).count(), 1);
-    let refusal = refusal(&actions).expect("its answer never comes");
+    let refusal = refusal(&actions).expect("its answer never arrives");
     assert_eq!((refusal.reason, refusal.not_run), (Refused::OutcomeUnknown, false));
     assert!(calls(&actions).is_empty());
     assert!(!is_delivered(&core.handle(answered(attempt, good()), ms(60))));
@@ -95,7 +95,7 @@
 #[test]
 fn an_idempotent_request_is_repeated_elsewhere() {
     let (mut core, _) = called(Repeat::Idempotent);
-    let documents = listed(&[living("engine", 2, 3)], 6);
+    let documents = listed(&[with_incarnation("engine", 2, 3)], 6);
     core.handle(Event::Published { documents, snapshot_at: None }, ms(10));
     let actions = restart(&mut core, 7, ms(50));
     assert_eq!(&*calls(&actions)[0].1.endpoint.id, "engine-2");
@@ -118,13 +118,17 @@
     let (mut core, attempt) = called(Repeat::Idempotent);
     let full = AnswerProof { load: Some((64, 64, 64)), ..good() };
     core.handle(answered(attempt, full), ms(5));
-    let documents = listed(&[living("engine", 2, 3)], 6);
+    let documents = listed(&[with_incarnation("engine", 2, 3)], 6);
     core.handle(Event::Published { documents, snapshot_at: None }, ms(6));
     let chosen = |core: &mut GatewayCore, caller, now| {
         let actions = submit(core, caller, incoming("r", Vec::new()), now);
         calls(&actions)[0].1.endpoint.id.to_string()
     };
-    assert_eq!(chosen(&mut core, 2, ms(7)), "engine-2", "the other one told that it is full");
+    assert_eq!(
+        chosen(&mut core, 2, ms(7)),
+        "engine-2",
+        "the other endpoint reported that it is full"
+    );
     restart(&mut core, 8, ms(8));
     assert_eq!(chosen(&mut core, 3, ms(9)), "engine-1", "it runs nothing now");
     // A call to the previous incarnation ends without counting for the current one.
@@ -192,9 +196,9 @@
     assert_eq!(again.iter().map(|c| c.2.clone()).collect::<Vec<_>>(), [vec![0, 0]]);
 }
 
-#[test_case(9, true; "of the life that is listed")]
-#[test_case(8, false; "of another one")]
-#[test_case(0, true; "that does not say")]
+#[test_case(9, true; "of the listed incarnation")]
+#[test_case(8, false; "of another incarnation")]
+#[test_case(0, true; "without an incarnation")]
 fn a_report_applies_to_its_incarnation(incarnation: u64, is_taken: bool) {
     let route = route("r", Repeat::AtMostOnce, &[("first", &[], 10)]);
     let mut table = table(vec![route]);
--- a/tests/direct_scheduler.rs
+++ b/tests/direct_scheduler.rs
@@ -30,12 +30,12 @@
     calls.collect()
 }
 
-fn told(actions: &[Action]) -> Vec<PeerMessage> {
-    let told = actions.iter().filter_map(|a| match a {
+fn sent_messages(actions: &[Action]) -> Vec<PeerMessage> {
+    let sent_messages = actions.iter().filter_map(|a| match a {
         Action::Send { message, .. } => Some(message.clone()),
         _ => None,
     });
-    told.collect()
+    sent_messages.collect()
 }
 
 fn freed(actions: &[Action]) -> Vec<String> {
@@ -79,7 +79,7 @@
     assert_eq!(calls.len(), 2, "all pieces of a stage fit one call");
     assert!(calls[0].2.iter().all(|p| p.stage == 0 && p.key.is_some() && p.inputs.is_empty()));
     assert!(calls[1].2.iter().all(|p| p.stage == 1 && p.key.is_none() && p.inputs.len() == 3));
-    assert!(told(&actions).contains(&PeerMessage::Ready(job_id(1))));
+    assert!(sent_messages(&actions).contains(&PeerMessage::Ready(job_id(1))));
     assert_eq!(freed(&actions).len(), 3, "the first stage's results are freed once they are used");
     scheduler.release(job_id(1), &table);
     assert_eq!(freed(&scheduler.actions(&table, ms(600))).len(), 3, "the rest on release");
@@ -130,7 +130,7 @@
             assert_eq!(piece.inputs.len(), expected, "stage {} with all inputs", piece.stage);
         }
     }
-    assert!(told(&again).contains(&PeerMessage::Ready(job_id(1))));
+    assert!(sent_messages(&again).contains(&PeerMessage::Ready(job_id(1))));
 }
 
 #[test]
@@ -141,16 +141,16 @@
     scheduler.submit(job(1, &route, 4), &table, ms(0));
     let open = calls(&scheduler.actions(&table, ms(0)));
     let sizes: Vec<usize> = open.iter().map(|c| c.2.len()).collect();
-    assert_eq!(sizes, [2, 2], "room for two results at each endpoint");
+    assert_eq!(sizes, [2, 2], "memory for two results at each endpoint");
     for (call, _, pieces) in &open {
         scheduler.batch_ended(*call, made(*call, pieces.len()), &table, ms(300));
     }
     let mut late = job(2, &route, 1);
     late.resubmitted = true;
     scheduler.submit(late, &table, ms(300));
-    assert!(calls(&scheduler.actions(&table, ms(300))).is_empty(), "no room");
+    assert!(calls(&scheduler.actions(&table, ms(300))).is_empty(), "no memory");
     scheduler.release(job_id(1), &table);
-    assert_eq!(calls(&scheduler.actions(&table, ms(310))).len(), 1, "room again");
+    assert_eq!(calls(&scheduler.actions(&table, ms(310))).len(), 1, "memory is free again");
 }
 
 #[test]
@@ -161,12 +161,13 @@
     for number in 1..=3 {
         scheduler.submit(job(number, &route, 2), &table, ms(0));
     }
-    let refused = told(&scheduler.actions(&table, ms(0))).into_iter().find_map(|m| match m {
-        PeerMessage::Cancelled { job, reason, not_started, retry_after } => {
-            Some((job, reason, not_started, retry_after))
-        }
-        _ => None,
-    });
+    let refused =
+        sent_messages(&scheduler.actions(&table, ms(0))).into_iter().find_map(|m| match m {
+            PeerMessage::Cancelled { job, reason, not_started, retry_after } => {
+                Some((job, reason, not_started, retry_after))
+            }
+            _ => None,
+        });
     let (job, reason, not_started, retry_after) = refused.expect("one is refused");
     assert_eq!((job, reason, not_started), (job_id(3), JobReason::NoRoom, true));
     assert!(retry_after >= ms(100));
@@ -197,7 +198,10 @@
     assert_eq!(second.len(), 1, "made again");
     assert_ne!(second[0].1, first[0].1);
     scheduler.batch_ended(second[0].0, made(second[0].0, 1), &table, ms(1_700));
-    assert!(told(&scheduler.actions(&table, ms(1_700))).contains(&PeerMessage::Ready(job_id(1))));
+    assert!(
+        sent_messages(&scheduler.actions(&table, ms(1_700)))
+            .contains(&PeerMessage::Ready(job_id(1)))
+    );
     scheduler.batch_ended(first[0].0, made(first[0].0, 1), &table, ms(3_000));
     assert_eq!(freed(&scheduler.actions(&table, ms(3_000))), ["1/0"]);
 }
@@ -236,7 +240,7 @@
     assert_eq!(freed(&scheduler.actions(&table, now)).len(), 2, "while the call is at work");
     scheduler.batch_ended(call, made(call, 2), &table, now + ms(200));
     let actions = scheduler.actions(&table, now + ms(200));
-    assert!(told(&actions).contains(&PeerMessage::Ready(job_id(1))));
+    assert!(sent_messages(&actions).contains(&PeerMessage::Ready(job_id(1))));
     assert!(freed(&actions).is_empty(), "once");
 }
 
@@ -252,7 +256,7 @@
     let again = run_to_the_end(&mut scheduler, &table, now + ms(50));
     let stages: Vec<usize> = calls(&again).iter().map(|c| c.2[0].stage).collect();
     assert_eq!(stages, [0, 1], "the first stage, then the second");
-    assert!(told(&again).contains(&PeerMessage::Ready(job_id(1))));
+    assert!(sent_messages(&again).contains(&PeerMessage::Ready(job_id(1))));
 }
 
 #[test]
@@ -277,12 +281,12 @@
     scheduler.submit(job(1, &route, 2), &table, ms(400));
     let actions = scheduler.actions(&table, ms(400));
     assert!(calls(&actions).is_empty());
-    let told = told(&actions);
-    assert_eq!(told.first(), Some(&PeerMessage::Accepted(job_id(1))));
+    let sent_messages = sent_messages(&actions);
+    assert_eq!(sent_messages.first(), Some(&PeerMessage::Accepted(job_id(1))));
     assert!(
-        matches!(&told[1], PeerMessage::StageDone { stage: 0, results, .. } if results.len() == 2)
+        matches!(&sent_messages[1], PeerMessage::StageDone { stage: 0, results, .. } if results.len() == 2)
     );
-    assert_eq!(told.last(), Some(&PeerMessage::Ready(job_id(1))));
+    assert_eq!(sent_messages.last(), Some(&PeerMessage::Ready(job_id(1))));
 }
 
 #[test]
@@ -296,7 +300,7 @@
     let broken = BatchOutcome::Failed(CallFailure::Broken);
     scheduler.batch_ended(first[0].0, broken, &table, ms(5));
     let actions = scheduler.actions(&table, ms(5));
-    let given_up = told(&actions).iter().any(|m| {
+    let given_up = sent_messages(&actions).iter().any(|m| {
         matches!(
             m,
             PeerMessage::Cancelled { reason: JobReason::RepeatBudget, not_started: false, .. }
@@ -316,7 +320,7 @@
     scheduler.release_jobs_of(address(1), 1, &table);
     let actions = scheduler.actions(&table, ms(260));
     assert_eq!(freed(&actions).len(), 2);
-    assert!(calls(&actions).is_empty(), "nothing more is begun for it");
+    assert!(calls(&actions).is_empty(), "no further call for its job");
 }
 
 #[test]
@@ -363,7 +367,7 @@
     }
     scheduler.submit(job(3, &route, 2), &table, ms(6));
     let refused = |actions: &[Action]| {
-        told(actions).iter().any(|m| {
+        sent_messages(actions).iter().any(|m| {
             matches!(m, PeerMessage::Cancelled { reason: JobReason::NoRoom, not_started: true, .. })
         })
     };
@@ -461,7 +465,7 @@
         scheduler.submit(job(number, &route, 4), &table, ms(0));
         calls(&scheduler.actions(&table, ms(0))).into_iter().map(|c| c.1).collect::<Vec<_>>()
     };
-    assert_eq!(submit(1), ["first-1"], "at home");
-    assert!(submit(2).is_empty(), "the next call at home holds these four");
-    assert_eq!(submit(3), ["first-2"], "and no more: these go elsewhere");
+    assert_eq!(submit(1), ["first-1"], "the preferred data centre");
+    assert!(submit(2).is_empty(), "the next call there holds these four");
+    assert_eq!(submit(3), ["first-2"], "the next call is full: these go elsewhere");
 }
--- a/tests/direct_schedules.rs
+++ b/tests/direct_schedules.rs
@@ -7,7 +7,7 @@
 mod directenv;
 
 use directenv::ms;
-use directenv::world::{GATEWAYS, Happening, World};
+use directenv::world::{GATEWAYS, SimEvent, World};
 
 const SCHEDULES: u64 = 400;
 /// Number of schedules with planned stops, which have more callers.
@@ -43,12 +43,12 @@
 #[test]
 fn schedules_are_deterministic() {
     for seed in 1..=60 {
-        let happenings = || {
+        let sim_events = || {
             let mut world = World::new(seed);
             world.run();
             world.next
         };
-        assert_eq!(happenings(), happenings(), "seed {seed}");
+        assert_eq!(sim_events(), sim_events(), "seed {seed}");
     }
 }
 
@@ -76,8 +76,8 @@
         }
     }
     println!(
-        "{count} schedules from seed {first}: {ended} processes stopped, {served_late} streams taken \
-         after the signal whole, {cut} others cut at the end, {jobs_left} jobs left, 0 breaches"
+        "{count} schedules from seed {first}: {ended} processes stopped, {served_late} streams accepted \
+         after the signal completed, {cut} others cut at the end, {jobs_left} jobs left, 0 breaches"
     );
     assert!(ended > 0 && (served_late > 0 || count < STOP_SCHEDULES));
 }
@@ -88,22 +88,22 @@
 fn gateways_respect_status_headers_in_random_schedules() {
     let first = number("STACKMAST_SEED", 1);
     let count = number("STACKMAST_SCHEDULES", SCHEDULES);
-    let (mut said, mut checked) = (0, 0);
+    let (mut received, mut checked) = (0, 0);
     for seed in first..first + count {
         let outcome = std::panic::catch_unwind(|| {
             let mut world = World::with_statements(seed);
             world.run();
-            world.statements.map(|s| (s.said, s.checked)).unwrap_or_default()
+            world.statements.map(|s| (s.received, s.checked)).unwrap_or_default()
         });
         match outcome {
-            Ok(counts) => (said, checked) = (said + counts.0, checked + counts.1),
+            Ok(counts) => (received, checked) = (received + counts.0, checked + counts.1),
             Err(_) => panic!("seed {seed}: STACKMAST_SEED={seed} STACKMAST_SCHEDULES=1"),
         }
     }
     println!(
-        "{count} schedules from seed {first}: {said} statements, {checked} later messages, 0 breaches"
+        "{count} schedules from seed {first}: {received} statements, {checked} later messages, 0 breaches"
     );
-    assert!(said > 0 && (checked > 0 || count < SCHEDULES));
+    assert!(received > 0 && (checked > 0 || count < SCHEDULES));
 }
 
 // Without faults, every request that can be served is served, and all results are freed.
@@ -111,16 +111,16 @@
 fn a_schedule_without_faults_serves_all_requests_and_frees_all_results() {
     for seed in 1..20 {
         let mut world = World::new(seed);
-        world.trouble = 0.0;
+        world.fault_rate = 0.0;
         world.queue.clear();
-        world.happenings.clear();
+        world.sim_events.clear();
         world.wakes.clear();
         for number in 0..usize::from(GATEWAYS) {
             world.publish_to(number);
         }
         for caller in 1..=8 {
             let at = ms(500) * caller as u32;
-            world.at(at, Happening::Arrival(caller as usize % 3, caller));
+            world.at(at, SimEvent::Arrival(caller as usize % 3, caller));
         }
         world.run();
         assert!(world.kept.is_empty(), "seed {seed}: {} results kept", world.kept.len());
--- a/tests/direct_stops.rs
+++ b/tests/direct_stops.rs
@@ -5,7 +5,9 @@
 
 use std::time::Duration;
 
-use directenv::gateway::{calls, configured, good, hear_of, incoming, refusal, serving, submit};
+use directenv::gateway::{
+    calls, configured, good, incoming, receive_gossip, refusal, serving, submit,
+};
 use directenv::{address, job, ms, route};
 use stackmast::actor::Core;
 use stackmast::direct::answers::{AnswerProof, BatchOutcome, PieceOutcome};
@@ -33,14 +35,14 @@
 }
 
 /// A request with a timeout of twenty seconds.
-fn patient(route: &str, pieces: Vec<usize>) -> IncomingRequest {
+fn long_request(route: &str, pieces: Vec<usize>) -> IncomingRequest {
     IncomingRequest { timeout: Some(Duration::from_secs(20)), ..incoming(route, pieces) }
 }
 
 /// Serves one stream of this duration.
 fn serve(core: &mut GatewayCore, caller: u64, name: &str, length: Duration) {
     let now = ms(1_000);
-    let attempt = calls(&submit(core, caller, patient(name, Vec::new()), now))[0].0;
+    let attempt = calls(&submit(core, caller, long_request(name, Vec::new()), now))[0].0;
     let head = Event::Answered { caller, attempt, proof: good(), is_open: true };
     core.handle(head, now + length.min(ms(100)));
     let ended = Event::StreamEnded { caller, attempt, is_complete: true, last_event: None };
@@ -55,7 +57,7 @@
 /// Serves one plain request of this duration.
 fn serve_plain(core: &mut GatewayCore, caller: u64, name: &str, length: Duration) {
     let now = ms(1_000);
-    let attempt = calls(&submit(core, caller, patient(name, Vec::new()), now))[0].0;
+    let attempt = calls(&submit(core, caller, long_request(name, Vec::new()), now))[0].0;
     core.handle(Event::Answered { caller, attempt, proof: good(), is_open: false }, now + length);
     assert_eq!(core.in_flight(), 0);
 }
@@ -74,14 +76,22 @@
     core.handle(Event::Drain { at: SIGNAL }, SIGNAL);
     let now = SIGNAL + ms(3_060);
     for (caller, route) in [(3, "long"), (4, "short")] {
-        let actions = submit(&mut core, caller, patient(route, Vec::new()), now);
+        let actions = submit(&mut core, caller, long_request(route, Vec::new()), now);
         assert!(refused_as_not_run(&actions), "it may outlast the 4.6 s that are left");
         assert!(calls(&actions).is_empty());
     }
-    let actions = submit(&mut core, 5, patient("plain", Vec::new()), now);
-    assert_eq!(calls(&actions).len(), 1, "nobody else serves, and it ends by all experience");
-    let hasty = IncomingRequest { timeout: Some(ms(4_000)), ..patient("short", Vec::new()) };
-    assert_eq!(calls(&submit(&mut core, 6, hasty, now)).len(), 1, "its time is over by then");
+    let actions = submit(&mut core, 5, long_request("plain", Vec::new()), now);
+    assert_eq!(
+        calls(&actions).len(),
+        1,
+        "no other gateway serves, and recorded durations are short enough"
+    );
+    let hasty = IncomingRequest { timeout: Some(ms(4_000)), ..long_request("short", Vec::new()) };
+    assert_eq!(
+        calls(&submit(&mut core, 6, hasty, now)).len(),
+        1,
+        "it times out before the process ends"
+    );
 }
 
 /// A gateway next to one that also stops and owns this request's stages since `submitted`.
@@ -93,8 +103,8 @@
         let mut owner = serving(port);
         (owner.state, owner.heartbeat) = (MemberState::Leaving, 2);
         core.handle(Event::Drain { at: SIGNAL }, SIGNAL);
-        hear_of(&mut core, vec![owner], submitted);
-        let actions = submit(&mut core, 3, patient("s", vec![1]), submitted);
+        receive_gossip(&mut core, vec![owner], submitted);
+        let actions = submit(&mut core, 3, long_request("s", vec![1]), submitted);
         let is_submitted = |a: &Action| matches!(a, Action::Send { to, message: PeerMessage::Submit(_) } if *to == address(port));
         if actions.iter().any(is_submitted) {
             return (core, port);
@@ -119,7 +129,7 @@
 
 /// Serves a request whose stage takes 0.3 s and whose run takes 2 s.
 fn serve_staged(core: &mut GatewayCore) {
-    let actions = submit(core, 2, patient("s", vec![1]), ms(8_000));
+    let actions = submit(core, 2, long_request("s", vec![1]), ms(8_000));
     let attempt = calls(&core.handle(made(&actions), ms(8_300)))[0].0;
     let head = Event::Answered { caller: 2, attempt, proof: good(), is_open: true };
     core.handle(head, ms(8_400));
@@ -170,14 +180,15 @@
     }
     for number in 100..300 {
         let now = ms(10_000 + number);
-        let attempt = calls(&submit(&mut core, number, patient("plain", Vec::new()), now))[0].0;
+        let attempt =
+            calls(&submit(&mut core, number, long_request("plain", Vec::new()), now))[0].0;
         let proof = AnswerProof { status: 400, ..good() };
         let answer = Event::Answered { caller: number, attempt, proof, is_open: false };
         core.handle(answer, now + ms(5));
     }
     core.handle(Event::Drain { at: SIGNAL }, SIGNAL);
     let now = SIGNAL + ms(3_060);
-    assert!(refused_as_not_run(&submit(&mut core, 3, patient("plain", Vec::new()), now)));
+    assert!(refused_as_not_run(&submit(&mut core, 3, long_request("plain", Vec::new()), now)));
 }
 
 // A core with event lag handles the signal late, but the process doesn't end later. A request that
@@ -185,7 +196,7 @@
 // for it.
 #[test_case(0, 3_100, true; "in time")]
 #[test_case(0, 3_300, false; "too late")]
-#[test_case(400, 3_300, false; "too late, and the signal was heard late")]
+#[test_case(400, 3_300, false; "too late, and the signal was handled late")]
 fn the_grace_period_starts_with_the_signal_not_with_its_event(
     heard_after: u64,
     asked_after: u64,
@@ -197,7 +208,7 @@
     }
     core.handle(Event::Drain { at: SIGNAL }, SIGNAL + ms(heard_after));
     let asked = SIGNAL + ms(asked_after);
-    let actions = submit(&mut core, 3, patient("plain", Vec::new()), asked);
+    let actions = submit(&mut core, 3, long_request("plain", Vec::new()), asked);
     assert_eq!(calls(&actions).len(), usize::from(is_taken));
     assert_eq!(refused_as_not_run(&actions), !is_taken);
 }
@@ -210,7 +221,7 @@
     }
     let sent = SIGNAL + ms(1_000);
     core.handle(Event::Drain { at: SIGNAL }, SIGNAL);
-    let attempt = calls(&submit(&mut core, 3, patient("long", Vec::new()), sent))[0].0;
+    let attempt = calls(&submit(&mut core, 3, long_request("long", Vec::new()), sent))[0].0;
     let head = Event::Answered { caller: 3, attempt, proof: good(), is_open: true };
     core.handle(head, sent + ms(100));
     let broke =
@@ -224,7 +235,7 @@
 fn a_stopping_owner_hands_back_the_jobs_of_others_at_its_end() {
     let (mut core, _) = beside_an_owner(SIGNAL + ms(1_000));
     let (from, job) = (address(30), job_of(30, ms(5_000)));
-    hear_of(&mut core, vec![serving(30)], SIGNAL + ms(1_000));
+    receive_gossip(&mut core, vec![serving(30)], SIGNAL + ms(1_000));
     submit_job(&mut core, &job, SIGNAL + ms(1_100));
     let actions = core.handle(Event::Shutdown, SIGNAL + ms(7_700));
     let is_handed_back = |a: &Action| matches!(a, Action::Send { to, message: PeerMessage::Cancelled { reason: JobReason::NotOwner, .. } } if *to == from);
@@ -237,44 +248,44 @@
 
 /// Retry time of a request that arrives `after` ms after the signal, with heartbeats of these
 /// gateways at the signal and 200 ms before the request.
-fn told_to_come_back(others: &[Member], after: u64) -> Duration {
+fn retry_time(others: &[Member], after: u64) -> Duration {
     let mut core = configured(vec![stream("long")]);
     core.handle(Event::Drain { at: SIGNAL }, SIGNAL);
     for (beat, at) in [(2, 0), (3, after - 200)] {
         let heard = others.iter().map(|m| Member { heartbeat: beat, ..m.clone() });
         let heard: Vec<Member> = heard.collect();
         if !heard.is_empty() {
-            hear_of(&mut core, heard, SIGNAL + ms(at));
+            receive_gossip(&mut core, heard, SIGNAL + ms(at));
         }
     }
-    let actions = submit(&mut core, 3, patient("long", Vec::new()), SIGNAL + ms(after));
+    let actions = submit(&mut core, 3, long_request("long", Vec::new()), SIGNAL + ms(after));
     refusal(&actions).expect("refused").retry_after
 }
 
 // Each retry time is extended by up to a half, so that callers don't return all at once.
-#[test_case(&[serving(2)], 2_000, 100; "another serves")]
+#[test_case(&[serving(2)], 2_000, 100; "another gateway serves")]
 #[test_case(&[], 4_000, 1_200; "alone")]
-#[test_case(&[leaving(2)], 4_000, 1_000; "another that stops, too, and ends as soon as it may")]
+#[test_case(&[leaving(2)], 4_000, 1_000; "another gateway stops, too, and ends early")]
 #[test_case(&[leaving(2), serving(3)], 2_000, 100; "one of two serves")]
 fn callers_retry_when_a_gateway_is_expected_back(others: &[Member], after: u64, least: u64) {
-    let told = told_to_come_back(others, after);
+    let told = retry_time(others, after);
     assert!(told >= ms(least) && told <= ms(least).mul_f64(1.9) + ms(100), "{told:?}");
 }
 
 #[test]
 fn a_gateway_that_failed_long_ago_is_not_waited_for() {
     let mut core = configured(vec![stream("long")]);
-    hear_of(&mut core, vec![serving(2)], ms(1_000));
+    receive_gossip(&mut core, vec![serving(2)], ms(1_000));
     core.handle(Event::Tick, ms(3_000));
     core.handle(Event::Drain { at: SIGNAL }, SIGNAL);
-    let actions = submit(&mut core, 3, patient("long", Vec::new()), SIGNAL + ms(3_500));
+    let actions = submit(&mut core, 3, long_request("long", Vec::new()), SIGNAL + ms(3_500));
     assert!(refusal(&actions).expect("refused").retry_after >= ms(1_000));
 }
 
 #[test]
 fn unanswered_requests_are_answered_before_the_process_ends() {
     let mut core = configured(vec![stream("long"), staged()]);
-    submit(&mut core, 1, patient("long", Vec::new()), SIGNAL - ms(500));
+    submit(&mut core, 1, long_request("long", Vec::new()), SIGNAL - ms(500));
     core.handle(Event::Drain { at: SIGNAL }, SIGNAL);
     assert!(refusal(&core.handle(Event::Tick, SIGNAL + ms(7_000))).is_none(), "it may still end");
     let actions = core.handle(Event::Shutdown, SIGNAL + ms(7_700));
@@ -326,7 +337,7 @@
     let told = told(&actions, 3);
     assert_eq!(told.contains(&&PeerMessage::Accepted(job.id)), takes, "{told:?}");
     assert_eq!(is_refused_as_not_owned(&told, job.id), !takes, "{told:?}");
-    assert_eq!(batch_call(&actions).is_some(), takes, "nothing of a refused job is made");
+    assert_eq!(batch_call(&actions).is_some(), takes, "no piece of a refused job is called");
 }
 
 #[test]
@@ -340,7 +351,7 @@
     let refused = submit_job(&mut core, &new, late);
     assert!(is_refused_as_not_owned(&told(&refused, 3), new.id));
     let again = submit_job(&mut core, &job, late);
-    assert_eq!(told(&again, 3), [&PeerMessage::Accepted(job.id)], "it has that one");
+    assert_eq!(told(&again, 3), [&PeerMessage::Accepted(job.id)], "this job is known");
     assert!(batch_call(&again).is_none(), "its piece is on the way already");
     let ended = core.handle(made(&begun), late + ms(100));
 
@@ -354,7 +365,7 @@
     let again = submit_job(&mut core, &job, late + ms(200));
     let told = told(&again, 3);
     assert_eq!(told[0], &PeerMessage::Accepted(job.id));
-    assert!(is_done(&told[1..]), "what was told may be lost: {told:?}");
+    assert!(is_done(&told[1..]), "earlier messages may be lost: {told:?}");
 }
 
 // The serving owner has just refused; the stopping one accepts the job of its own request, but no
@@ -364,12 +375,12 @@
     let mut core = configured(vec![staged(), stream("long")]);
     serve(&mut core, 1, "long", ms(100));
     serve_staged(&mut core);
-    hear_of(&mut core, vec![serving(3)], SIGNAL - ms(2_000));
+    receive_gossip(&mut core, vec![serving(3)], SIGNAL - ms(2_000));
     core.handle(Event::Drain { at: SIGNAL }, SIGNAL);
     let mut beat = serving(3);
     for number in 0..15 {
         beat.heartbeat += 1;
-        hear_of(&mut core, vec![beat.clone()], SIGNAL - ms(1_500) + ms(200) * number);
+        receive_gossip(&mut core, vec![beat.clone()], SIGNAL - ms(1_500) + ms(200) * number);
     }
     // The request times out before the process ends, so no recorded durations are needed to accept
     // it.
@@ -398,10 +409,10 @@
     let mut core = configured(vec![stream("s")]);
     (1..=8).for_each(|caller| serve(&mut core, caller, "s", ms(500)));
     let now = SIGNAL + ms(3_060);
-    let attempt = calls(&submit(&mut core, 9, patient("s", Vec::new()), now - ms(5_000)))[0].0;
+    let attempt = calls(&submit(&mut core, 9, long_request("s", Vec::new()), now - ms(5_000)))[0].0;
     let head = Event::Answered { caller: 9, attempt, proof: good(), is_open: true };
     core.handle(head, now - ms(4_900));
     core.handle(Event::Drain { at: SIGNAL }, SIGNAL);
-    let actions = submit(&mut core, 10, patient("s", Vec::new()), now);
+    let actions = submit(&mut core, 10, long_request("s", Vec::new()), now);
     assert!(refused_as_not_run(&actions), "one runs for 5 s already, and 4.6 s are left");
 }
--- a/tests/direct_upgrades.rs
+++ b/tests/direct_upgrades.rs
@@ -11,7 +11,9 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use directenv::gateway::{Idle, configured, hear_of, incoming, new_core, serving, setup, submit};
+use directenv::gateway::{
+    Idle, configured, incoming, new_core, receive_gossip, serving, setup, submit,
+};
 use directenv::{address, endpoint, job, job_id, ms, position, route};
 use futures_util::{SinkExt, StreamExt};
 use stackmast::actor::{Core, Handle, mailbox, run};
@@ -149,7 +151,7 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     let own = core.inspect(|core, _| core.peers_of_other_builds()).await.expect("a core");
-    assert_eq!(own, 0, "they know each other for what they are");
+    assert_eq!(own, 0, "each recognises the other's build");
 }
 
 #[tokio::test]
@@ -159,10 +161,10 @@
     older.send(greeting(address(9), 2)).await.expect("sent");
     // A submission in the compact form of an earlier release, with arbitrary content.
     older.send(bytes::Bytes::from_static(&[5, 0, 1, 2, 3])).await.expect("sent");
-    let told = Instant::now();
+    let sent_messages = Instant::now();
     let end = timeout(WITHIN, older.next()).await.expect("in time");
     assert!(end.is_none_or(|end| end.is_err()), "it ends");
-    assert!(told.elapsed() < Duration::from_millis(100), "{:?}", told.elapsed());
+    assert!(sent_messages.elapsed() < Duration::from_millis(100), "{:?}", sent_messages.elapsed());
     let others = core.inspect(|core, _| core.peers_of_other_builds()).await.expect("a core");
     assert_eq!(others, 1);
 }
@@ -178,12 +180,12 @@
 }
 
 /// Messages that a core sends, except heartbeats.
-fn told(actions: &[Action]) -> Vec<(SocketAddr, PeerMessage)> {
-    let told = actions.iter().filter_map(|a| match a {
+fn sent_messages(actions: &[Action]) -> Vec<(SocketAddr, PeerMessage)> {
+    let sent_messages = actions.iter().filter_map(|a| match a {
         Action::Send { to, message } => Some((*to, message.clone())),
         _ => None,
     });
-    told.filter(|(_, m)| !matches!(m, PeerMessage::Gossip { .. })).collect()
+    sent_messages.filter(|(_, m)| !matches!(m, PeerMessage::Gossip { .. })).collect()
 }
 
 #[test]
@@ -194,7 +196,7 @@
     let event = || Event::PeerMessageUnreadable { from, announced_form: 9, unread };
     let actions = core.handle(event(), ms(10));
     let refused = matches!(
-        told(&actions).as_slice(),
+        sent_messages(&actions).as_slice(),
         [(to, PeerMessage::Cancelled { reason: JobReason::NotOwner, not_started: true, .. })]
             if *to == from
     );
@@ -203,26 +205,27 @@
         actions.iter().filter(|a| matches!(a, Action::Log(LogEvent::PeerUnread { .. }))).count()
     };
     assert_eq!(noted(&actions), 1);
-    assert_eq!(noted(&core.handle(event(), ms(20))), 0, "told once");
+    assert_eq!(noted(&core.handle(event(), ms(20))), 0, "logged once");
 }
 
 #[test]
 fn a_job_refused_as_unreadable_goes_to_another_owner() {
     let routes = vec![route("r", Repeat::AtMostOnce, &[("first", &[], 10)])];
     let mut core = configured(routes);
-    hear_of(&mut core, (2..=4).map(serving).collect(), ms(10));
+    receive_gossip(&mut core, (2..=4).map(serving).collect(), ms(10));
     // One of the other gateways owns some of these jobs.
     for caller in 1..=40 {
         let actions = submit(&mut core, caller, incoming("r", vec![1]), ms(20 + caller));
-        let submitted = told(&actions).into_iter().find_map(|(to, message)| match message {
-            PeerMessage::Submit(job) => Some((to, job.id)),
-            _ => None,
-        });
+        let submitted =
+            sent_messages(&actions).into_iter().find_map(|(to, message)| match message {
+                PeerMessage::Submit(job) => Some((to, job.id)),
+                _ => None,
+            });
         let Some((owner, job)) = submitted else { continue };
         let (reason, not_started, retry_after) = (JobReason::NotOwner, true, Duration::ZERO);
         let message = PeerMessage::Cancelled { job, reason, not_started, retry_after };
         let actions = core.handle(Event::PeerMessage { from: owner, message }, ms(22 + caller));
-        let again = told(&actions).into_iter().find_map(|(to, message)| match message {
+        let again = sent_messages(&actions).into_iter().find_map(|(to, message)| match message {
             PeerMessage::Submit(_) => Some(to),
             _ => None,
         });
@@ -250,7 +253,7 @@
         heard.collect::<Vec<_>>()
     };
     assert_eq!(heard(&greet(&mut core, 1, &build)), [("first", "0.0.9".to_owned())]);
-    assert!(heard(&greet(&mut core, 1, &build)).is_empty(), "with each connection once more");
+    assert!(heard(&greet(&mut core, 1, &build)).is_empty(), "only with its first connection");
     assert_eq!(heard(&greet(&mut core, 2, &Build::own())), [("last", "0.0.9".to_owned())]);
     assert!(heard(&greet(&mut core, 2, &Build::own())).is_empty());
     let started = GatewayCore::new(setup()).handle(Event::Tick, ms(0));
@@ -281,13 +284,13 @@
     }});
     let message = read(&serde_json::to_vec(&heartbeat).expect("JSON"), 0).expect("it is read");
     let actions = core.handle(Event::PeerMessage { from: address(5), message }, ms(10));
-    let told = actions.iter().find_map(|a| match a {
+    let sent_messages = actions.iter().find_map(|a| match a {
         Action::Send { message: PeerMessage::Gossip { evacuations, departures, .. }, .. } => {
             Some((evacuations.evacuated(), departures.len()))
         }
         _ => None,
     });
-    assert_eq!(told, Some((["hall-9".into()].into_iter().collect(), 1)));
+    assert_eq!(sent_messages, Some((["hall-9".into()].into_iter().collect(), 1)));
     for caller in 1..=20 {
         let actions = submit(&mut core, caller, incoming("r", Vec::new()), ms(20 + caller));
         let goes_there = |a: &Action| matches!(a, Action::Call { params, .. } if params.endpoint.id == leaving.id);
--- a/tests/directenv/eras/mod.rs
+++ b/tests/directenv/eras/mod.rs
@@ -18,7 +18,7 @@
 use stackmast::direct::published::position::Position;
 
 use super::gateway::setup;
-use super::timeline::{Gateway, Timeline, heard};
+use super::timeline::{Gateway, Timeline, peer_events};
 use super::{deployment, endpoint, ms, route};
 
 /// Time until a gateway that was cut off, refused by the store or started is in touch again, and
@@ -27,22 +27,22 @@
 /// A live endpoint writes its entry again within this time after the store has returned.
 const HEARTBEAT_MS: u64 = 1_200;
 /// Time after which an entry that is not renewed expires.
-const LAPSES: Duration = Duration::from_millis(3_600);
+const ENTRY_LIFETIME: Duration = Duration::from_millis(3_600);
 /// A watch without events ends after this time.
 const WATCH_MS: u64 = 2_000;
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const CHECK_EVERY: Duration = Duration::from_millis(100);
 const COPY_EVERY: Duration = Duration::from_millis(100);
 const ENDPOINTS: u16 = 8;
 const DATA_CENTRES: u16 = 3;
 const END: Duration = Duration::from_secs(24);
 
-enum Happening {
+enum SimEvent {
     Event(usize, u64, Box<Event>),
     Wake(usize, u64),
     /// A gateway reads the complete store.
     Read(usize, u64),
     Copy,
-    Look,
+    Check,
     /// The store becomes unavailable; `Return` restores it from a copy of the given age.
     Away,
     Return(Duration),
@@ -92,13 +92,13 @@
 #[derive(Debug, Default, Clone)]
 pub struct Seen {
     pub returns: usize,
-    pub looks: usize,
+    pub checks: usize,
     pub breaches: Vec<String>,
 }
 
 /// Gateways, endpoints and the store of one schedule.
 pub struct Fleet {
-    time: Timeline<Happening>,
+    time: Timeline<SimEvent>,
     gateways: Vec<Gateway>,
     /// The position up to which each gateway follows the store.
     follows: Vec<Position>,
@@ -111,7 +111,7 @@
     returned: Duration,
     endpoints: Vec<Truth>,
     /// Since when a gateway has not used an endpoint that is up.
-    lost: BTreeMap<(usize, u16), Duration>,
+    unused_since: BTreeMap<(usize, u16), Duration>,
     version: (u64, Duration),
     orders: BTreeMap<u16, (bool, Duration)>,
     loss: f64,
@@ -144,7 +144,7 @@
             is_away: false,
             returned: Duration::ZERO,
             endpoints: (0..ENDPOINTS).map(lives).collect(),
-            lost: BTreeMap::new(),
+            unused_since: BTreeMap::new(),
             version: (0, Duration::ZERO),
             orders: BTreeMap::new(),
             loss,
@@ -161,54 +161,60 @@
     }
 
     pub fn run(&mut self) {
-        while let Some(happening) = self.time.step(END) {
-            self.happen(happening);
+        while let Some(sim_event) = self.time.step(END) {
+            self.apply(sim_event);
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Event(gateway, life, event) if self.gateways[gateway].life == life => {
+    fn apply(&mut self, sim_event: SimEvent) {
+        match sim_event {
+            SimEvent::Event(gateway, incarnation, event)
+                if self.gateways[gateway].incarnation == incarnation =>
+            {
                 self.handle(gateway, *event);
             }
-            Happening::Wake(gateway, life) if self.gateways[gateway].life == life => {
+            SimEvent::Wake(gateway, incarnation)
+                if self.gateways[gateway].incarnation == incarnation =>
+            {
                 self.gateways[gateway].wake = None;
                 self.handle(gateway, Event::Tick);
             }
-            Happening::Read(gateway, life) if self.gateways[gateway].life == life => {
+            SimEvent::Read(gateway, incarnation)
+                if self.gateways[gateway].incarnation == incarnation =>
+            {
                 self.read(gateway);
             }
-            Happening::Event(..) | Happening::Wake(..) | Happening::Read(..) => {}
-            Happening::Copy => self.copies.push((self.time.now, self.store.clone())),
-            Happening::Look => self.look(),
-            Happening::Away => self.is_away = true,
-            Happening::Return(age) => self.come_back(age),
-            Happening::WriteVersion => self.write_version(),
-            Happening::WriteOrders => self.write_orders(),
-            Happening::WriteEntry(number) => self.write_entry(number),
-            Happening::Configure => self.configure(),
-            Happening::Order(number, stands) => {
+            SimEvent::Event(..) | SimEvent::Wake(..) | SimEvent::Read(..) => {}
+            SimEvent::Copy => self.copies.push((self.time.now, self.store.clone())),
+            SimEvent::Check => self.check(),
+            SimEvent::Away => self.is_away = true,
+            SimEvent::Return(age) => self.come_back(age),
+            SimEvent::WriteVersion => self.write_version(),
+            SimEvent::WriteOrders => self.write_orders(),
+            SimEvent::WriteEntry(number) => self.write_entry(number),
+            SimEvent::Configure => self.configure(),
+            SimEvent::Order(number, stands) => {
                 self.orders.insert(number, (stands, self.time.now));
                 self.write_orders();
             }
-            Happening::Leave(number) => self.becomes(number, State::Leaves),
-            Happening::End(number) => {
+            SimEvent::Leave(number) => self.becomes(number, State::Leaves),
+            SimEvent::End(number) => {
                 let was_leaving = self.endpoints[usize::from(number)].state == State::Leaves;
                 self.becomes(number, State::Ended);
-                let lapses = if was_leaving { ms(0) } else { LAPSES };
-                self.time.at(self.time.now + lapses, Happening::WriteEntry(number));
+                let lapses = if was_leaving { ms(0) } else { ENTRY_LIFETIME };
+                self.time.at(self.time.now + lapses, SimEvent::WriteEntry(number));
             }
-            Happening::Begin(number) => {
+            SimEvent::Begin(number) => {
                 self.endpoints[usize::from(number)].incarnation += 1;
                 self.becomes(number, State::Lives);
             }
-            Happening::Kill(gateway) => self.gateways[gateway].kill(),
-            Happening::Start(gateway) => self.start(gateway),
-            Happening::Cut(gateway, is_cut) => {
+            SimEvent::Kill(gateway) => self.gateways[gateway].kill(),
+            SimEvent::Start(gateway) => self.start(gateway),
+            SimEvent::Cut(gateway, is_cut) => {
                 self.gateways[gateway].is_cut = is_cut;
                 self.out_of_touch(gateway, is_cut);
             }
-            Happening::TurnAway(gateway, is_away) => {
+            SimEvent::TurnAway(gateway, is_away) => {
                 self.gateways[gateway].is_away = is_away;
                 self.out_of_touch(gateway, is_away);
             }
@@ -247,7 +253,10 @@
         self.store.version = (self.store.revision, self.version.0);
         self.version.1 = self.time.now;
         let documents = vec![self.configuration()];
-        self.tell_all(&|| Event::Published { documents: documents.clone(), snapshot_at: None });
+        self.publish_to_followers(&|| Event::Published {
+            documents: documents.clone(),
+            snapshot_at: None,
+        });
     }
 
     fn write_orders(&mut self) {
@@ -268,7 +277,10 @@
             }
             let position = Position::new(self.era, revision);
             let changes = vec![EvacuationChange { data_centre, position, in_force }];
-            self.tell_all(&|| Event::Evacuations { changes: changes.clone(), snapshot_at: None });
+            self.publish_to_followers(&|| Event::Evacuations {
+                changes: changes.clone(),
+                snapshot_at: None,
+            });
         }
     }
 
@@ -301,7 +313,10 @@
             Revised { position, created_revision, document: Document::Endpoint(entry) }
         };
         let documents = vec![revised];
-        self.tell_all(&|| Event::Published { documents: documents.clone(), snapshot_at: None });
+        self.publish_to_followers(&|| Event::Published {
+            documents: documents.clone(),
+            snapshot_at: None,
+        });
     }
 
     fn configuration(&self) -> Revised {
@@ -325,14 +340,17 @@
         self.seen.returns += 1;
         for number in 0..ENDPOINTS {
             let Truth { state, .. } = self.endpoints[usize::from(number)];
-            let within =
-                if state == State::Ended { LAPSES.as_millis() as u64 } else { HEARTBEAT_MS };
+            let within = if state == State::Ended {
+                ENTRY_LIFETIME.as_millis() as u64
+            } else {
+                HEARTBEAT_MS
+            };
             let at = self.time.now + self.time.time_in(0, within);
-            self.time.at(at, Happening::WriteEntry(number));
+            self.time.at(at, SimEvent::WriteEntry(number));
         }
-        for happening in [Happening::WriteVersion, Happening::WriteOrders] {
+        for sim_event in [SimEvent::WriteVersion, SimEvent::WriteOrders] {
             let at = self.time.now + self.time.time_in(0, 1_500);
-            self.time.at(at, happening);
+            self.time.at(at, sim_event);
         }
         for gateway in 0..self.gateways.len() {
             self.reads_soon(gateway, WATCH_MS);
@@ -341,7 +359,7 @@
 
     fn reads_soon(&mut self, gateway: usize, within_ms: u64) {
         let at = self.time.now + self.time.time_in(3, within_ms);
-        self.time.at(at, Happening::Read(gateway, self.gateways[gateway].life));
+        self.time.at(at, SimEvent::Read(gateway, self.gateways[gateway].incarnation));
     }
 
     fn is_served(&self, gateway: usize) -> bool {
@@ -351,7 +369,7 @@
 
     /// Sends a write to all followers. Followers of an earlier era get it only once the store has
     /// passed their position, with an answer that names the new era.
-    fn tell_all(&mut self, event: &dyn Fn() -> Event) {
+    fn publish_to_followers(&mut self, event: &dyn Fn() -> Event) {
         for gateway in 0..self.gateways.len() {
             if !self.is_served(gateway) {
                 continue;
@@ -370,8 +388,8 @@
         let at = self.time.now + self.time.time_in(2, 300);
         let at = at.max(self.next_delivery[gateway]);
         self.next_delivery[gateway] = at + ms(1);
-        let life = self.gateways[gateway].life;
-        self.time.at(at, Happening::Event(gateway, life, Box::new(event)));
+        let incarnation = self.gateways[gateway].incarnation;
+        self.time.at(at, SimEvent::Event(gateway, incarnation, Box::new(event)));
     }
 
     fn read(&mut self, gateway: usize) {
@@ -419,8 +437,8 @@
     fn handle(&mut self, number: usize, event: Event) {
         let (actions, wake) = self.gateways[number].handle(event, self.time.now);
         if let Some(at) = wake {
-            let life = self.gateways[number].life;
-            self.time.at(at, Happening::Wake(number, life));
+            let incarnation = self.gateways[number].incarnation;
+            self.time.at(at, SimEvent::Wake(number, incarnation));
         }
         for action in actions {
             match action {
@@ -428,7 +446,7 @@
                     self.reads_soon(number, 300);
                 }
                 Action::Send { .. } | Action::Broadcast { .. } => {
-                    for (to, event) in heard(number, action) {
+                    for (to, event) in peer_events(number, action) {
                         self.send(number, to, event);
                     }
                 }
@@ -453,8 +471,8 @@
         }
         if !self.gateways[from].is_cut && !self.gateways[to].is_cut {
             let at = self.time.now + self.time.time_in(1, 60);
-            let life = self.gateways[to].life;
-            self.time.at(at, Happening::Event(to, life, Box::new(event)));
+            let incarnation = self.gateways[to].incarnation;
+            self.time.at(at, SimEvent::Event(to, incarnation, Box::new(event)));
         }
     }
 }
--- a/tests/directenv/fakes.rs
+++ b/tests/directenv/fakes.rs
@@ -12,13 +12,13 @@
 use stackmast::direct::statement::CallKind;
 
 use super::ms;
-use super::world::{Happening, World};
+use super::world::{SimEvent, World};
 
 impl World {
     /// An endpoint reports its load, unless it is silent; the report may be outdated when it
     /// arrives.
     pub fn report(&mut self, number: usize, endpoint: &Endpoint) {
-        if self.is_troubled() && self.chance(0.2) {
+        if self.has_fault() && self.chance(0.2) {
             return;
         }
         let free_bytes = self.rng.random_range(0..=1_000);
@@ -27,12 +27,12 @@
         let event = Event::ReportReceived { endpoint: endpoint.id.clone(), report, requested_at };
         let at = self.now + self.time_in(ms(1), ms(8));
         self.answers(number, endpoint, CallKind::Report, at);
-        self.at(at, Happening::Event(number, self.lives[number], Box::new(event)));
+        self.at(at, SimEvent::Event(number, self.incarnations[number], Box::new(event)));
     }
 
     /// Calls an endpoint with a request: it may refuse, fail before or after the run, or answer.
     pub fn call(&mut self, number: usize, caller: u64, attempt: u64, params: &CallParams) {
-        let life = self.lives[number];
+        let incarnation = self.incarnations[number];
         let seen = &self.callers[&caller];
         let (id, route) = (seen.id.clone(), seen.route);
         assert!(!seen.refused_not_run, "{id}: called after it was refused as not run");
@@ -54,7 +54,7 @@
             names_request: true,
             ..AnswerProof::default()
         };
-        let fate = if self.is_troubled() { self.rng.random_range(1..8) } else { 0 };
+        let fate = if self.has_fault() { self.rng.random_range(1..8) } else { 0 };
         let delay = self.time_in(ms(2), ms(40));
         let (runs, event) = match fate {
             1 => (false, failed(CallFailure::NotSent)),
@@ -83,19 +83,22 @@
         }
         if !params.inputs.is_empty() && fate != 1 {
             let sent = Event::CallSent { caller, attempt };
-            self.at(self.now + ms(1), Happening::Event(number, life, Box::new(sent)));
+            self.at(self.now + ms(1), SimEvent::Event(number, incarnation, Box::new(sent)));
         }
         self.answers(number, &params.endpoint, CallKind::Request, self.now + delay);
         let is_stream = spec.streams && matches!(&event, Event::Answered { is_open: true, .. });
-        self.at(self.now + delay, Happening::Event(number, life, Box::new(event)));
+        self.at(self.now + delay, SimEvent::Event(number, incarnation, Box::new(event)));
         if is_stream {
             let first = self.now + delay + ms(1);
-            self.at(first, Happening::Event(number, life, Box::new(Event::FirstEvent { caller })));
+            self.at(
+                first,
+                SimEvent::Event(number, incarnation, Box::new(Event::FirstEvent { caller })),
+            );
             let is_complete = fate == 0;
             let last_event = Some("3".to_owned());
             let ended = Event::StreamEnded { caller, attempt, is_complete, last_event };
             let length = self.stream_length(route);
-            self.at(first + length, Happening::Event(number, life, Box::new(ended)));
+            self.at(first + length, SimEvent::Event(number, incarnation, Box::new(ended)));
         }
     }
 
@@ -107,7 +110,7 @@
         for handle in &params.inputs {
             let (request, stage, piece) = &self.results[&**handle];
             assert_eq!(request, id, "another request's result");
-            assert!(last.contains(stage), "{id}: a result of a stage that others come after");
+            assert!(last.contains(stage), "{id}: a result of a stage that is not the last");
             expected_stages.push((*stage, *piece));
         }
         let mut sorted = expected_stages.clone();
@@ -121,7 +124,7 @@
     }
 
     pub fn batch(&mut self, number: usize, call: u64, endpoint: &Endpoint, pieces: &[PieceParams]) {
-        let fate = if self.is_troubled() { self.rng.random_range(1..7) } else { 0 };
+        let fate = if self.has_fault() { self.rng.random_range(1..7) } else { 0 };
         let mut delay = self.time_in(ms(240), ms(300));
         let outcome = match fate {
             1 => BatchOutcome::Full,
@@ -137,9 +140,9 @@
             delay = ms(2);
         }
         self.answers(number, endpoint, CallKind::Pieces, self.now + delay);
-        let life = self.lives[number];
+        let incarnation = self.incarnations[number];
         let event = Event::BatchEnded { call, outcome };
-        self.at(self.now + delay, Happening::Event(number, life, Box::new(event)));
+        self.at(self.now + delay, SimEvent::Event(number, incarnation, Box::new(event)));
     }
 
     /// Checks the inputs of a piece and produces its result, or reports why it can't.
@@ -159,7 +162,7 @@
         if params.inputs.iter().any(|h| !self.kept.contains_key(&**h)) {
             return PieceOutcome::InputGone;
         }
-        if self.is_troubled() {
+        if self.has_fault() {
             match self.rng.random_range(0..6) {
                 0 => return PieceOutcome::NoRoom,
                 1 => return PieceOutcome::Failed,
--- a/tests/directenv/gateway.rs
+++ b/tests/directenv/gateway.rs
@@ -130,7 +130,7 @@
 
 /// Contents of a heartbeat; fields that are not set are empty.
 #[derive(Default)]
-pub struct Says {
+pub struct Heartbeat {
     pub members: Vec<Member>,
     pub seen: Seen,
     pub complete: bool,
@@ -141,7 +141,7 @@
     pub era: u64,
 }
 
-impl Says {
+impl Heartbeat {
     pub fn message(self) -> PeerMessage {
         let Self { members, seen, complete, event_lag, evacuations, departures, limits, era } =
             self;
@@ -161,11 +161,11 @@
 }
 
 pub fn gossip(members: Vec<Member>) -> PeerMessage {
-    Says { members, complete: true, ..Says::default() }.message()
+    Heartbeat { members, complete: true, ..Heartbeat::default() }.message()
 }
 
 /// Handles gossip about `members`, sent by the first of them.
-pub fn hear_of(core: &mut GatewayCore, members: Vec<Member>, now: Duration) {
+pub fn receive_gossip(core: &mut GatewayCore, members: Vec<Member>, now: Duration) {
     let from = members[0].address;
     let message = gossip(members);
     core.handle(Event::PeerMessage { from, message }, now);
--- a/tests/directenv/orders.rs
+++ b/tests/directenv/orders.rs
@@ -15,13 +15,13 @@
 use stackmast::direct::published::model::{ColdStart, Deployment, Endpoint, Name, Repeat};
 
 use super::gateway::{good, incoming, setup};
-use super::timeline::{Gateway, Timeline, heard};
+use super::timeline::{Gateway, Timeline, peer_events};
 use super::{deployment, endpoint, ms, position, route};
 
 /// Requests per second that a cold endpoint handles.
-pub const BEARS: f64 = 10.0;
+pub const COLD_RATE: f64 = 10.0;
 /// A cold endpoint fails when it receives more requests than this within one second.
-pub const MOST_IN_A_SECOND: usize = 20;
+pub const MAX_PER_SECOND: usize = 20;
 /// Time from when an order is written until it is in force.
 pub const IN_FORCE: Duration = Duration::from_secs(5);
 /// Time until a gateway that was cut off or started is in touch with the others again.
@@ -33,7 +33,7 @@
 const PRESSURE: f64 = 300.0;
 const END: Duration = Duration::from_secs(14);
 
-enum Happening {
+enum SimEvent {
     Event(usize, u64, Box<Event>),
     Wake(usize, u64),
     Arrival,
@@ -50,17 +50,17 @@
 
 /// Results of a schedule.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Seen {
+pub struct Stats {
     pub calls: usize,
     pub cold_calls: usize,
     pub refused: usize,
-    pub most_in_a_second: usize,
+    pub max_per_second: usize,
     pub late_calls: usize,
 }
 
 /// Gateways and endpoints of one schedule.
 pub struct Fleet {
-    time: Timeline<Happening>,
+    time: Timeline<SimEvent>,
     gateways: Vec<Gateway>,
     endpoints: BTreeMap<Name, Arc<Endpoint>>,
     down: BTreeSet<Name>,
@@ -73,7 +73,7 @@
     callers: u64,
     loss: f64,
     slowest_news: Duration,
-    pub seen: Seen,
+    pub stats: Stats,
 }
 
 /// The revision of an order, and since when it is in force.
@@ -82,7 +82,7 @@
 fn cold_deployment() -> Deployment {
     let mut deployment = deployment(1, vec![route("r", Repeat::Idempotent, &[])]);
     for pool in deployment.pools.iter_mut().filter(|p| &*p.name == "engine") {
-        pool.cold = Some(ColdStart { per_second: BEARS, duration: COLD });
+        pool.cold = Some(ColdStart { per_second: COLD_RATE, duration: COLD });
         pool.max_connections = 10_000;
     }
     deployment
@@ -111,7 +111,7 @@
             callers: 0,
             loss,
             slowest_news,
-            seen: Seen::default(),
+            stats: Stats::default(),
         };
         for number in 0..ENDPOINTS {
             fleet.enter(Arc::new(engine(number)));
@@ -128,15 +128,15 @@
     fn plan(&mut self) {
         let mut at = 2.0;
         while at < END.as_secs_f64() {
-            self.time.at(Duration::from_secs_f64(at), Happening::Arrival);
+            self.time.at(Duration::from_secs_f64(at), SimEvent::Arrival);
             at += self.time.rng.random_range(0.0..2.0) / PRESSURE;
         }
         for _ in 0..self.time.rng.random_range(0..3) {
             let data_centre: Name = format!("hall-{}", self.time.rng.random_range(0..4)).into();
             let at = self.time.time_in(500, 6_000);
             let back = at + self.time.time_in(500, 9_000);
-            self.time.at(at, Happening::Order(data_centre.clone(), true));
-            self.time.at(back, Happening::Order(data_centre, false));
+            self.time.at(at, SimEvent::Order(data_centre.clone(), true));
+            self.time.at(back, SimEvent::Order(data_centre, false));
         }
         for _ in 0..self.time.rng.random_range(1..3) {
             let first = self.time.rng.random_range(0..ENDPOINTS);
@@ -144,8 +144,8 @@
             let numbers: Vec<u16> = (0..count).map(|n| (first + n) % ENDPOINTS).collect();
             let at = self.time.time_in(2_500, 8_000);
             let back = at + self.time.time_in(1_000, 3_000);
-            self.time.at(at, Happening::Down(numbers.clone()));
-            self.time.at(back, Happening::Up(numbers));
+            self.time.at(at, SimEvent::Down(numbers.clone()));
+            self.time.at(back, SimEvent::Up(numbers));
         }
         for _ in 0..self.time.rng.random_range(0..5) {
             let gateway = self.time.rng.random_range(0..self.gateways.len());
@@ -153,54 +153,58 @@
             let back = at + self.time.time_in(100, 4_000);
             match self.time.rng.random_range(0..3) {
                 0 => {
-                    self.time.at(at, Happening::Kill(gateway));
-                    self.time.at(back, Happening::Start(gateway));
+                    self.time.at(at, SimEvent::Kill(gateway));
+                    self.time.at(back, SimEvent::Start(gateway));
                 }
                 1 => {
-                    self.time.at(at, Happening::Cut(gateway, true));
-                    self.time.at(back, Happening::Cut(gateway, false));
+                    self.time.at(at, SimEvent::Cut(gateway, true));
+                    self.time.at(back, SimEvent::Cut(gateway, false));
                 }
                 _ => {
-                    self.time.at(at, Happening::Away(gateway, true));
-                    self.time.at(back + ms(4_000), Happening::Away(gateway, false));
+                    self.time.at(at, SimEvent::Away(gateway, true));
+                    self.time.at(back + ms(4_000), SimEvent::Away(gateway, false));
                 }
             }
         }
         if self.time.rng.random_bool(0.2) {
             let at = self.time.time_in(3_000, 8_000);
             for gateway in 0..self.gateways.len() {
-                self.time.at(at, Happening::Kill(gateway));
+                self.time.at(at, SimEvent::Kill(gateway));
                 let back = at + self.time.time_in(200, 500);
-                self.time.at(back, Happening::Start(gateway));
+                self.time.at(back, SimEvent::Start(gateway));
             }
         }
     }
 
     pub fn run(&mut self) {
-        while let Some(happening) = self.time.step(END) {
-            self.happen(happening);
+        while let Some(sim_event) = self.time.step(END) {
+            self.apply(sim_event);
         }
         for calls in self.cold_calls.values() {
             for (i, start) in calls.iter().enumerate() {
                 let within = calls[i..].iter().take_while(|at| **at < *start + ms(1_000)).count();
-                self.seen.most_in_a_second = self.seen.most_in_a_second.max(within);
+                self.stats.max_per_second = self.stats.max_per_second.max(within);
             }
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Event(gateway, life, event) if self.gateways[gateway].life == life => {
+    fn apply(&mut self, sim_event: SimEvent) {
+        match sim_event {
+            SimEvent::Event(gateway, incarnation, event)
+                if self.gateways[gateway].incarnation == incarnation =>
+            {
                 self.handle(gateway, *event);
             }
-            Happening::Wake(gateway, life) if self.gateways[gateway].life == life => {
+            SimEvent::Wake(gateway, incarnation)
+                if self.gateways[gateway].incarnation == incarnation =>
+            {
                 self.gateways[gateway].wake = None;
                 self.handle(gateway, Event::Tick);
             }
-            Happening::Event(..) | Happening::Wake(..) => {}
-            Happening::Arrival => self.arrive(),
-            Happening::Order(data_centre, stands) => self.order(data_centre, stands),
-            Happening::Down(numbers) => {
+            SimEvent::Event(..) | SimEvent::Wake(..) => {}
+            SimEvent::Arrival => self.arrive(),
+            SimEvent::Order(data_centre, stands) => self.order(data_centre, stands),
+            SimEvent::Down(numbers) => {
                 for number in numbers {
                     let id: Name = format!("engine-{number}").into();
                     self.down.insert(id.clone());
@@ -215,22 +219,22 @@
                     self.spread(vec![gone]);
                 }
             }
-            Happening::Up(numbers) => {
+            SimEvent::Up(numbers) => {
                 for number in numbers {
                     self.up(number);
                 }
             }
-            Happening::Kill(gateway) => {
+            SimEvent::Kill(gateway) => {
                 self.gateways[gateway].kill();
             }
-            Happening::Start(gateway) => self.start(gateway),
-            Happening::Cut(gateway, is_cut) => {
+            SimEvent::Start(gateway) => self.start(gateway),
+            SimEvent::Cut(gateway, is_cut) => {
                 self.gateways[gateway].is_cut = is_cut;
                 self.gateways[gateway].in_touch_from =
                     if is_cut { Duration::MAX } else { self.time.now + IN_TOUCH };
                 self.publish_whole(gateway);
             }
-            Happening::Away(gateway, is_away) => {
+            SimEvent::Away(gateway, is_away) => {
                 self.gateways[gateway].is_away = is_away;
                 self.publish_whole(gateway);
             }
@@ -281,12 +285,12 @@
 
     /// The store publishes to a gateway that it can reach, after a delay.
     fn publish(&mut self, gateway: usize, event: Event) {
-        let Gateway { is_cut, is_away, life, .. } = self.gateways[gateway];
+        let Gateway { is_cut, is_away, incarnation, .. } = self.gateways[gateway];
         let after = Duration::from_micros(
             self.time.rng.random_range(4_000..self.slowest_news.as_micros() as u64),
         );
         if !is_cut && !is_away {
-            let event = Happening::Event(gateway, life, Box::new(event));
+            let event = SimEvent::Event(gateway, incarnation, Box::new(event));
             self.time.at(self.time.now + after, event);
         }
     }
@@ -337,8 +341,8 @@
         let gateway = &mut self.gateways[number];
         let (actions, wake) = gateway.handle(event, now);
         if let Some(at) = wake {
-            let life = gateway.life;
-            self.time.at(at, Happening::Wake(number, life));
+            let incarnation = gateway.incarnation;
+            self.time.at(at, SimEvent::Wake(number, incarnation));
         }
         for action in actions {
             self.act(number, action);
@@ -348,14 +352,14 @@
     fn act(&mut self, number: usize, action: Action) {
         match action {
             Action::Send { .. } | Action::Broadcast { .. } => {
-                for (to, event) in heard(number, action) {
+                for (to, event) in peer_events(number, action) {
                     self.send(number, to, event);
                 }
             }
             Action::Call { caller, attempt, params } => {
                 self.call(number, caller, attempt, &params.endpoint);
             }
-            Action::Refuse { .. } => self.seen.refused += 1,
+            Action::Refuse { .. } => self.stats.refused += 1,
             _ => {}
         }
     }
@@ -368,13 +372,13 @@
         }
         if !self.gateways[from].is_cut && !self.gateways[to].is_cut {
             let after = self.time.time_in(1, 60);
-            let event = Happening::Event(to, self.gateways[to].life, Box::new(event));
+            let event = SimEvent::Event(to, self.gateways[to].incarnation, Box::new(event));
             self.time.at(self.time.now + after, event);
         }
     }
 
     fn call(&mut self, number: usize, caller: u64, attempt: u64, endpoint: &Endpoint) {
-        let life = self.gateways[number].life;
+        let incarnation = self.gateways[number].incarnation;
         let arrives = self.time.now + self.time.time_in(1, 4);
         let answer = if self.down.contains(&endpoint.id) {
             Event::CallFailed { caller, attempt, failure: CallFailure::NotSent }
@@ -383,19 +387,19 @@
             Event::Answered { caller, attempt, proof: good(), is_open: false }
         };
         let after = self.time.time_in(10, 120);
-        self.time.at(arrives + after, Happening::Event(number, life, Box::new(answer)));
+        self.time.at(arrives + after, SimEvent::Event(number, incarnation, Box::new(answer)));
     }
 
     /// Records that a request reaches an endpoint.
     fn arrived(&mut self, number: usize, endpoint: &Endpoint, at: Duration) {
-        self.seen.calls += 1;
+        self.stats.calls += 1;
         if self.cold_until.get(&endpoint.id).is_some_and(|until| at < *until) {
-            self.seen.cold_calls += 1;
+            self.stats.cold_calls += 1;
             self.cold_calls.entry(endpoint.id.clone()).or_default().push(at);
         }
         let since = self.orders.get(&endpoint.data_centre).and_then(|order| order.1);
         let is_late = since.is_some_and(|since| at > since + IN_FORCE);
-        self.seen.late_calls += usize::from(is_late && self.can_hear(number));
+        self.stats.late_calls += usize::from(is_late && self.can_hear(number));
     }
 
     /// Whether a gateway is in touch with the store, or with a peer that is. In schedule 2262 the
--- a/tests/directenv/poison/endpoints.rs
+++ b/tests/directenv/poison/endpoints.rs
@@ -9,7 +9,7 @@
 use stackmast::direct::published::model::{Endpoint, Name};
 
 use super::super::position;
-use super::{Content, Fleet, Gateway, Happening, Running, Work};
+use super::{Content, Fleet, Gateway, Running, SimEvent, Work};
 use crate::directenv::gateway::good;
 
 impl Fleet {
@@ -33,7 +33,7 @@
         });
         let contents: BTreeSet<Content> = contents.collect();
         let poison = contents.iter().find(|c| matches!(c, Content::StagePoison(_))).copied();
-        self.seen.shared_calls += usize::from(poison.is_some() && contents.len() > 1);
+        self.stats.shared_calls += usize::from(poison.is_some() && contents.len() > 1);
         let work = Work::Batch { call, pieces: pieces.len() };
         self.reach(gateway, endpoint, work, contents, poison);
     }
@@ -46,24 +46,24 @@
         contents: BTreeSet<Content>,
         poison: Option<Content>,
     ) {
-        let Gateway { life, in_touch_from, .. } = self.gateways[gateway];
+        let Gateway { incarnation, in_touch_from, .. } = self.gateways[gateway];
         let arrives = self.time.now + self.time.time_in(1, 4);
-        let running = Running { gateway, life, work, contents };
+        let running = Running { gateway, incarnation, work, contents };
         if let Some(content) = poison.filter(|_| in_touch_from <= self.time.now) {
             self.reached.entry(content).or_default().push(self.time.now);
         }
-        let begin = Happening::Begin(to.id.clone(), to.incarnation, running, poison);
+        let begin = SimEvent::Begin(to.id.clone(), to.incarnation, running, poison);
         self.time.at(arrives, begin);
     }
 
     pub(super) fn begin(
         &mut self,
         id: &Name,
-        life: u64,
+        incarnation: u64,
         running: Running,
         poison: Option<Content>,
     ) {
-        let is_there = self.endpoints.get(id).is_some_and(|e| e.incarnation == life);
+        let is_there = self.endpoints.get(id).is_some_and(|e| e.incarnation == incarnation);
         if self.down.contains(id) || !is_there {
             return self.answer(&running, Some(CallFailure::NotSent));
         }
@@ -72,15 +72,15 @@
         self.running.entry(id.clone()).or_default().insert(number, running);
         if poison.is_some() {
             let at = self.time.now + self.time.time_in(10, 200);
-            self.time.at(at, Happening::Crash(vec![id.clone()], poison, life));
+            self.time.at(at, SimEvent::Crash(vec![id.clone()], poison, incarnation));
         } else {
             let at = self.time.now + self.time.time_in(50, 700);
-            self.time.at(at, Happening::Finish(id.clone(), life, number));
+            self.time.at(at, SimEvent::Finish(id.clone(), incarnation, number));
         }
     }
 
-    pub(super) fn finish(&mut self, id: &Name, life: u64, number: u64) {
-        if self.endpoints.get(id).is_none_or(|e| e.incarnation != life) {
+    pub(super) fn finish(&mut self, id: &Name, incarnation: u64, number: u64) {
+        if self.endpoints.get(id).is_none_or(|e| e.incarnation != incarnation) {
             return;
         }
         if let Some(running) = self.running.get_mut(id).and_then(|r| r.remove(&number)) {
@@ -108,35 +108,35 @@
             }
         };
         let at = self.time.now + self.time.time_in(1, 5);
-        self.time.at(at, Happening::Event(running.gateway, running.life, Box::new(event)));
+        self.time.at(at, SimEvent::Event(running.gateway, running.incarnation, Box::new(event)));
     }
 
-    pub(super) fn crash(&mut self, id: &Name, content: Option<Content>, life: u64) {
-        let is_there = self.endpoints.get(id).is_some_and(|e| e.incarnation == life);
+    pub(super) fn crash(&mut self, id: &Name, content: Option<Content>, incarnation: u64) {
+        let is_there = self.endpoints.get(id).is_some_and(|e| e.incarnation == incarnation);
         if !is_there || !self.down.insert(id.clone()) {
             return;
         }
         match content {
-            Some(content) => self.endings.entry(content).or_default().push(self.time.now),
-            None => self.seen.other_endings += 1,
+            Some(content) => self.crashes.entry(content).or_default().push(self.time.now),
+            None => self.stats.other_crashes += 1,
         }
         let ended = self.running.remove(id).unwrap_or_default();
         let contents: BTreeSet<Content> =
             ended.values().flat_map(|running| &running.contents).copied().collect();
         for content in contents {
-            *self.ended_under.entry(content).or_default() += 1;
+            *self.crashed_under.entry(content).or_default() += 1;
         }
         for running in ended.into_values() {
             self.answer(&running, Some(CallFailure::Broken));
         }
         let lapses = self.time.now + self.time.time_in(1_200, 3_600);
-        self.time.at(lapses, Happening::Lapse(id.clone(), life));
+        self.time.at(lapses, SimEvent::Lapse(id.clone(), incarnation));
         let back = self.time.now + self.time.time_in(1_000, 5_000);
-        self.time.at(back, Happening::Back(id.clone()));
+        self.time.at(back, SimEvent::Back(id.clone()));
     }
 
-    pub(super) fn lapse(&mut self, id: &Name, life: u64) {
-        if self.endpoints.get(id).is_none_or(|e| e.incarnation != life) {
+    pub(super) fn lapse(&mut self, id: &Name, incarnation: u64) {
+        if self.endpoints.get(id).is_none_or(|e| e.incarnation != incarnation) {
             return;
         }
         self.revision += 1;
--- a/tests/directenv/poison/mod.rs
+++ b/tests/directenv/poison/mod.rs
@@ -16,18 +16,18 @@
 use stackmast::direct::published::model::{Deployment, Endpoint, Name, Repeat};
 
 use super::gateway::{incoming, setup};
-use super::timeline::{Gateway, Timeline, heard};
+use super::timeline::{Gateway, Timeline, peer_events};
 use super::{deployment, endpoint, ms, position, route};
 
 /// Time until a gateway that was cut off or started is in touch again, and from the third crash
 /// until each gateway in touch has received the news of it.
 const IN_TOUCH: Duration = Duration::from_secs(3);
 /// Most endpoints that one content may reach after that from gateways in touch.
-pub const MOST_LATE: usize = 3;
+pub const MAX_LATE: usize = 3;
 /// Endpoints that a content crashes before it is refused.
-const CONDEMNED_AFTER: usize = 3;
+const QUARANTINED_AFTER: usize = 3;
 const ENGINES: u16 = 24;
-const MAKERS: u16 = 8;
+const POOL_ENDPOINTS: u16 = 8;
 const END: Duration = Duration::from_secs(24);
 /// Harmless requests per second, over all gateways.
 const PRESSURE: f64 = 60.0;
@@ -40,7 +40,7 @@
     /// The pieces of its stage crash the pool endpoints.
     StagePoison(u64),
     /// Sent by many callers.
-    Hot(u64),
+    Shared(u64),
     /// Sent by one caller only.
     Own(u64),
 }
@@ -68,12 +68,12 @@
 #[derive(Debug, Clone)]
 struct Running {
     gateway: usize,
-    life: u64,
+    incarnation: u64,
     work: Work,
     contents: BTreeSet<Content>,
 }
 
-enum Happening {
+enum SimEvent {
     Event(usize, u64, Box<Event>),
     Wake(usize, u64),
     Arrival(Caller),
@@ -91,25 +91,25 @@
 
 /// Results of a schedule.
 #[derive(Debug, Default, Clone)]
-pub struct Seen {
+pub struct Stats {
     /// Number of endpoints that each poison crashed.
     pub ended: BTreeMap<String, usize>,
     /// The largest number of endpoints that one poison reached too late.
-    pub most_late: usize,
+    pub max_late: usize,
     pub poison_refused: usize,
     /// Harmless requests refused as poison after at least three endpoints had crashed while running
     /// them, ...
-    pub unlucky: usize,
+    pub refused_after_crashes: usize,
     /// ... and after fewer.
-    pub wronged: usize,
+    pub wrongly_refused: usize,
     pub served: usize,
-    pub other_endings: usize,
+    pub other_crashes: usize,
     pub shared_calls: usize,
 }
 
 /// Gateways and endpoints of one schedule.
 pub struct Fleet {
-    time: Timeline<Happening>,
+    time: Timeline<SimEvent>,
     gateways: Vec<Gateway>,
     endpoints: BTreeMap<Name, Arc<Endpoint>>,
     down: BTreeSet<Name>,
@@ -121,11 +121,11 @@
     loss: f64,
     /// When endpoints crashed under each poison, and when it reached an endpoint from a gateway in
     /// touch.
-    endings: BTreeMap<Content, Vec<Duration>>,
+    crashes: BTreeMap<Content, Vec<Duration>>,
     /// Endpoints that crashed while running a content, for whatever reason.
-    ended_under: BTreeMap<Content, usize>,
+    crashed_under: BTreeMap<Content, usize>,
     reached: BTreeMap<Content, Vec<Duration>>,
-    pub seen: Seen,
+    pub stats: Stats,
 }
 
 fn poison_deployment() -> Deployment {
@@ -154,15 +154,15 @@
             revision: 10,
             entered: BTreeMap::new(),
             loss,
-            endings: BTreeMap::new(),
-            ended_under: BTreeMap::new(),
+            crashes: BTreeMap::new(),
+            crashed_under: BTreeMap::new(),
             reached: BTreeMap::new(),
-            seen: Seen::default(),
+            stats: Stats::default(),
         };
         for number in 0..ENGINES {
             fleet.enter(new_endpoint("engine", number, 1));
         }
-        for number in 0..MAKERS {
+        for number in 0..POOL_ENDPOINTS {
             fleet.enter(new_endpoint("first", number, 1));
         }
         for number in 0..gateways {
@@ -178,12 +178,12 @@
         while at < END.as_secs_f64() - 2.0 {
             let number = self.time.next;
             let content = match self.time.rng.random_range(0..10) {
-                0 => Content::Hot(number % 2),
+                0 => Content::Shared(number % 2),
                 _ => Content::Own(number),
             };
             let is_staged = self.time.rng.random_bool(0.4);
             let caller = Caller { content, is_staged, tries: 0 };
-            self.time.at(Duration::from_secs_f64(at), Happening::Arrival(caller));
+            self.time.at(Duration::from_secs_f64(at), SimEvent::Arrival(caller));
             at += self.time.rng.random_range(0.0..2.0) / PRESSURE;
         }
         for number in 0..self.time.rng.random_range(1..3) {
@@ -194,7 +194,7 @@
             let share = self.time.rng.random_range(0.05..0.6);
             let ids: Vec<Name> = self.endpoints.keys().cloned().collect();
             let ids = ids.into_iter().filter(|_| self.time.rng.random_bool(share)).collect();
-            self.time.at(at, Happening::Crash(ids, None, 1));
+            self.time.at(at, SimEvent::Crash(ids, None, 1));
         }
         for _ in 0..self.time.rng.random_range(0..4) {
             let gateway = self.time.rng.random_range(0..self.gateways.len());
@@ -202,14 +202,14 @@
             let back = at + self.time.time_in(100, 4_000);
             match self.time.rng.random_range(0..3) {
                 0 => {
-                    self.time.at(at, Happening::Kill(gateway));
-                    self.time.at(back, Happening::Start(gateway));
+                    self.time.at(at, SimEvent::Kill(gateway));
+                    self.time.at(back, SimEvent::Start(gateway));
                 }
                 1 => {
-                    self.time.at(at, Happening::Cut(gateway, true));
-                    self.time.at(back, Happening::Cut(gateway, false));
+                    self.time.at(at, SimEvent::Cut(gateway, true));
+                    self.time.at(back, SimEvent::Cut(gateway, false));
                 }
-                _ => self.time.at(at, Happening::Reset(gateway)),
+                _ => self.time.at(at, SimEvent::Reset(gateway)),
             }
         }
     }
@@ -227,55 +227,59 @@
         while at < END - ms(3_000) {
             let times = if self.time.rng.random_bool(0.15) { 3 } else { 1 };
             for _ in 0..times {
-                self.time.at(at, Happening::Arrival(caller));
+                self.time.at(at, SimEvent::Arrival(caller));
             }
             at += self.time.time_in(pace / 2, pace * 3 / 2);
         }
     }
 
     pub fn run(&mut self) {
-        while let Some(happening) = self.time.step(END) {
-            self.happen(happening);
+        while let Some(sim_event) = self.time.step(END) {
+            self.apply(sim_event);
         }
-        for (content, endings) in &self.endings {
-            self.seen.ended.insert(format!("{content:?}"), endings.len());
-            let Some(third) = endings.get(2) else {
+        for (content, crashes) in &self.crashes {
+            self.stats.ended.insert(format!("{content:?}"), crashes.len());
+            let Some(third) = crashes.get(2) else {
                 continue;
             };
             let reached = self.reached.get(content).into_iter().flatten();
             let late = reached.filter(|at| **at > *third + IN_TOUCH).count();
-            self.seen.most_late = self.seen.most_late.max(late);
+            self.stats.max_late = self.stats.max_late.max(late);
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Event(gateway, life, event) if self.gateways[gateway].life == life => {
+    fn apply(&mut self, sim_event: SimEvent) {
+        match sim_event {
+            SimEvent::Event(gateway, incarnation, event)
+                if self.gateways[gateway].incarnation == incarnation =>
+            {
                 self.handle(gateway, *event);
             }
-            Happening::Wake(gateway, life) if self.gateways[gateway].life == life => {
+            SimEvent::Wake(gateway, incarnation)
+                if self.gateways[gateway].incarnation == incarnation =>
+            {
                 self.gateways[gateway].wake = None;
                 self.handle(gateway, Event::Tick);
             }
-            Happening::Event(..) | Happening::Wake(..) => {}
-            Happening::Arrival(caller) => self.arrive(caller),
-            Happening::Begin(id, incarnation, running, poison) => {
+            SimEvent::Event(..) | SimEvent::Wake(..) => {}
+            SimEvent::Arrival(caller) => self.arrive(caller),
+            SimEvent::Begin(id, incarnation, running, poison) => {
                 self.begin(&id, incarnation, running, poison);
             }
-            Happening::Finish(id, incarnation, number) => self.finish(&id, incarnation, number),
-            Happening::Crash(ids, content, incarnation) => {
+            SimEvent::Finish(id, incarnation, number) => self.finish(&id, incarnation, number),
+            SimEvent::Crash(ids, content, incarnation) => {
                 for id in ids {
                     self.crash(&id, content, incarnation);
                 }
             }
-            Happening::Lapse(id, incarnation) => self.lapse(&id, incarnation),
-            Happening::Back(id) => self.back(&id),
-            Happening::Reset(gateway) => self.reset(gateway),
-            Happening::Kill(gateway) => {
+            SimEvent::Lapse(id, incarnation) => self.lapse(&id, incarnation),
+            SimEvent::Back(id) => self.back(&id),
+            SimEvent::Reset(gateway) => self.reset(gateway),
+            SimEvent::Kill(gateway) => {
                 self.gateways[gateway].kill();
             }
-            Happening::Start(gateway) => self.start(gateway),
-            Happening::Cut(gateway, is_cut) => {
+            SimEvent::Start(gateway) => self.start(gateway),
+            SimEvent::Cut(gateway, is_cut) => {
                 self.gateways[gateway].is_cut = is_cut;
                 self.gateways[gateway].in_touch_from =
                     if is_cut { Duration::MAX } else { self.time.now + IN_TOUCH };
@@ -306,8 +310,8 @@
         let gateway = &mut self.gateways[number];
         let (actions, wake) = gateway.handle(event, now);
         if let Some(at) = wake {
-            let life = gateway.life;
-            self.time.at(at, Happening::Wake(number, life));
+            let incarnation = gateway.incarnation;
+            self.time.at(at, SimEvent::Wake(number, incarnation));
         }
         for action in actions {
             self.act(number, action);
@@ -315,10 +319,10 @@
     }
 
     fn act(&mut self, number: usize, action: Action) {
-        let life = self.gateways[number].life;
+        let gateway_incarnation = self.gateways[number].incarnation;
         match action {
             Action::Send { .. } | Action::Broadcast { .. } => {
-                for (to, event) in heard(number, action) {
+                for (to, event) in peer_events(number, action) {
                     self.send(number, to, event);
                 }
             }
@@ -331,11 +335,11 @@
                 let is_closed = self.down.contains(&endpoint.id);
                 let event = Event::Probed { endpoint: endpoint.id.clone(), incarnation, is_closed };
                 let at = self.time.now + self.time.time_in(1, 10);
-                self.time.at(at, Happening::Event(number, life, Box::new(event)));
+                self.time.at(at, SimEvent::Event(number, gateway_incarnation, Box::new(event)));
             }
             Action::Refuse { caller, refusal } => self.refused(caller, &refusal.reason),
             Action::Deliver { caller, .. } => {
-                self.seen.served += usize::from(!self.callers[&caller].content.is_poison());
+                self.stats.served += usize::from(!self.callers[&caller].content.is_poison());
             }
             _ => {}
         }
@@ -346,17 +350,17 @@
         let Caller { content, is_staged, tries } = self.callers[&caller];
         let is_refused = *reason == Refused::Poison;
         if content.is_poison() {
-            self.seen.poison_refused += usize::from(is_refused);
+            self.stats.poison_refused += usize::from(is_refused);
             return;
         }
         if is_refused {
-            let ended_under = self.ended_under.get(&content).copied().unwrap_or(0);
-            self.seen.unlucky += usize::from(ended_under >= CONDEMNED_AFTER);
-            self.seen.wronged += usize::from(ended_under < CONDEMNED_AFTER);
+            let crashed_under = self.crashed_under.get(&content).copied().unwrap_or(0);
+            self.stats.refused_after_crashes += usize::from(crashed_under >= QUARANTINED_AFTER);
+            self.stats.wrongly_refused += usize::from(crashed_under < QUARANTINED_AFTER);
         }
         if tries < 2 {
             let at = self.time.now + self.time.time_in(100, 600);
-            self.time.at(at, Happening::Arrival(Caller { content, is_staged, tries: tries + 1 }));
+            self.time.at(at, SimEvent::Arrival(Caller { content, is_staged, tries: tries + 1 }));
         }
     }
 
@@ -368,7 +372,7 @@
         }
         if !self.gateways[from].is_cut && !self.gateways[to].is_cut {
             let after = self.time.time_in(1, 60);
-            let event = Happening::Event(to, self.gateways[to].life, Box::new(event));
+            let event = SimEvent::Event(to, self.gateways[to].incarnation, Box::new(event));
             self.time.at(self.time.now + after, event);
         }
     }
@@ -392,10 +396,11 @@
 
     /// The store publishes to a gateway that it can reach, after a delay.
     fn publish(&mut self, gateway: usize, event: Event) {
-        let Gateway { is_cut, life, .. } = self.gateways[gateway];
+        let Gateway { is_cut, incarnation, .. } = self.gateways[gateway];
         let after = self.time.time_in(4, 300);
         if !is_cut {
-            self.time.at(self.time.now + after, Happening::Event(gateway, life, Box::new(event)));
+            self.time
+                .at(self.time.now + after, SimEvent::Event(gateway, incarnation, Box::new(event)));
         }
     }
 
--- a/tests/directenv/publisher.rs
+++ b/tests/directenv/publisher.rs
@@ -7,7 +7,7 @@
 use stackmast::direct::published::documents::{Document, Revised};
 use stackmast::direct::published::model::Endpoint;
 
-use super::world::{GATEWAYS, Happening, World};
+use super::world::{GATEWAYS, SimEvent, World};
 use super::{deployment, endpoints, ms, position};
 
 impl World {
@@ -35,10 +35,10 @@
     pub fn publish_to(&mut self, number: usize) {
         let documents = self.documents();
         let snapshot_at = Some(position(self.revision));
-        let life = self.lives[number];
+        let incarnation = self.incarnations[number];
         let delay = self.time_in(ms(1), ms(80));
         let event = Event::Published { documents, snapshot_at };
-        self.at(self.now + delay, Happening::Event(number, life, Box::new(event)));
+        self.at(self.now + delay, SimEvent::Event(number, incarnation, Box::new(event)));
     }
 
     pub(super) fn publish(&mut self) {
@@ -58,7 +58,7 @@
     }
 
     /// Publishes a list with a third of the entries; the others are written again later.
-    pub(super) fn lapse(&mut self) {
+    pub(super) fn expire_entries(&mut self) {
         self.revision += 2;
         let snapshot_at = Some(position(self.revision - 1));
         let listed = self.documents().into_iter().enumerate().filter(|(i, _)| i % 3 == 0);
--- a/tests/directenv/recount.rs
+++ b/tests/directenv/recount.rs
@@ -32,25 +32,25 @@
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Compared {
     pub states: usize,
-    pub states_apart: usize,
+    pub differing_states: usize,
     pub decisions: usize,
     pub refused: usize,
-    pub refused_only_anew: usize,
+    pub refused_only_recomputed: usize,
     pub refused_only_kept: usize,
     pub calls: usize,
-    pub calls_apart: usize,
+    pub differing_calls: usize,
 }
 
 impl AddAssign for Compared {
     fn add_assign(&mut self, other: Self) {
         self.states += other.states;
-        self.states_apart += other.states_apart;
+        self.differing_states += other.differing_states;
         self.decisions += other.decisions;
         self.refused += other.refused;
-        self.refused_only_anew += other.refused_only_anew;
+        self.refused_only_recomputed += other.refused_only_recomputed;
         self.refused_only_kept += other.refused_only_kept;
         self.calls += other.calls;
-        self.calls_apart += other.calls_apart;
+        self.differing_calls += other.differing_calls;
     }
 }
 
@@ -107,7 +107,7 @@
                         pieces.iter().map(|p| (p.request.clone(), p.stage, p.piece)).collect();
                     self.compared.calls += 1;
                     let same = self.next.get(pool).is_some_and(|next| *next == pieces);
-                    self.compared.calls_apart += usize::from(!same);
+                    self.compared.differing_calls += usize::from(!same);
                 }
                 _ => {}
             }
@@ -115,13 +115,13 @@
     }
 
     fn decision(&mut self, admitted: bool) {
-        let Some(anew) = self.decided.take() else {
+        let Some(recomputed) = self.decided.take() else {
             return;
         };
         self.compared.decisions += 1;
-        self.compared.refused += usize::from(!anew);
-        self.compared.refused_only_anew += usize::from(!anew && admitted);
-        self.compared.refused_only_kept += usize::from(anew && !admitted);
+        self.compared.refused += usize::from(!recomputed);
+        self.compared.refused_only_recomputed += usize::from(!recomputed && admitted);
+        self.compared.refused_only_kept += usize::from(recomputed && !admitted);
     }
 
     fn compare(
@@ -129,7 +129,7 @@
         kept: &PoolState,
         owner: &Scheduler,
         pool: &str,
-        waiting: &[Waits],
+        waiting: &[WaitingPiece],
         table: &Table,
         now: Duration,
     ) {
@@ -170,19 +170,19 @@
         if !same {
             println!("{now:?} {pool}: {kept:?}\n{waits} {open} {open_at:?} {queued:?}");
         }
-        self.compared.states_apart += usize::from(!same);
+        self.compared.differing_states += usize::from(!same);
     }
 }
 
 /// A piece that may be sent.
-struct Waits {
+struct WaitingPiece {
     piece: (JobId, usize, usize),
     slack_ms: i64,
     bytes: u64,
     home: Option<Name>,
 }
 
-fn waiting(owner: &Scheduler, pool: &str, now: Duration) -> Vec<Waits> {
+fn waiting(owner: &Scheduler, pool: &str, now: Duration) -> Vec<WaitingPiece> {
     let mut waiting = Vec::new();
     for (id, run) in owner.active_jobs() {
         for (stage, spec) in run.job.stages.iter().enumerate() {
@@ -194,7 +194,7 @@
             let home = run.preferred_data_centre(stage).filter(|_| run.moved_bytes(stage) >= HEAVY);
             let pieces = run.stages[stage].pieces.iter().enumerate();
             let open = pieces.filter(|(_, p)| matches!(p, Piece::Waiting { .. }));
-            waiting.extend(open.map(|(piece, _)| Waits {
+            waiting.extend(open.map(|(piece, _)| WaitingPiece {
                 piece: (*id, stage, piece),
                 slack_ms,
                 bytes: spec.result_bytes,
@@ -213,7 +213,12 @@
 
 /// Computes the first call: the endpoint for the most urgent piece that fits anywhere, and the
 /// pieces that are sent with it.
-fn next_batch(kept: &PoolState, spec: &BatchSpec, waiting: Vec<Waits>, table: &Table) -> Pieces {
+fn next_batch(
+    kept: &PoolState,
+    spec: &BatchSpec,
+    waiting: Vec<WaitingPiece>,
+    table: &Table,
+) -> Pieces {
     let place = |id: &Name| table.endpoint(id).map(|e| e.data_centre.clone()).unwrap_or_default();
     let free: Vec<(Name, u64)> = kept.free.iter().map(|(id, room)| (place(id), *room)).collect();
     let next_calls = kept.usable.iter().map(|(dc, count)| (dc.clone(), count * spec.pieces));
