--- a/tests/directenv/statements.rs
+++ b/tests/directenv/statements.rs
@@ -12,25 +12,25 @@
 use stackmast::direct::statement::{Backoff, CallKind, Statement};
 
 use super::ms;
-use super::world::{BUSY, Happening, World};
+use super::world::{BUSY, SimEvent, World};
 
 /// Separates the random numbers for statuses from those for everything else.
-const OWN_CHANCES: u64 = 0x57a7;
+const SEED_MASK: u64 = 0x57a7;
 /// Share of all answers that carry a status.
-const SAYS: f64 = 0.15;
+const STATUS_SHARE: f64 = 0.15;
 /// Share of these statuses that announce the departure of the endpoint.
-const LEAVES: f64 = 0.1;
+const LEAVING_SHARE: f64 = 0.1;
 
 /// A gateway, its incarnation, and an endpoint.
-type Between = (usize, u64, String);
+type Recipient = (usize, u64, String);
 
 /// Statuses that endpoints sent, and which incarnation of a gateway received them.
 pub struct Statements {
     rng: StdRng,
-    leaving: BTreeSet<Between>,
-    paused: BTreeMap<Between, Duration>,
+    leaving: BTreeSet<Recipient>,
+    paused: BTreeMap<Recipient, Duration>,
     /// Number of answers with a status.
-    pub said: usize,
+    pub received: usize,
     /// Number of messages sent to endpoints from which the gateway had received a status.
     pub checked: usize,
 }
@@ -40,10 +40,10 @@
     pub fn with_statements(seed: u64) -> Self {
         let mut world = Self::new(seed);
         world.statements = Some(Statements {
-            rng: StdRng::seed_from_u64(seed ^ OWN_CHANCES),
+            rng: StdRng::seed_from_u64(seed ^ SEED_MASK),
             leaving: BTreeSet::new(),
             paused: BTreeMap::new(),
-            said: 0,
+            received: 0,
             checked: 0,
         });
         world
@@ -54,42 +54,42 @@
         let Some(statements) = self.statements.as_mut().filter(|_| at < BUSY) else {
             return;
         };
-        if !statements.rng.random_bool(SAYS) {
+        if !statements.rng.random_bool(STATUS_SHARE) {
             return;
         }
         // One endpoint of each pool never leaves.
-        let leaving = statements.rng.random_bool(LEAVES) && endpoint.id.ends_with("-1");
+        let leaving = statements.rng.random_bool(LEAVING_SHARE) && endpoint.id.ends_with("-1");
         let time = ms(statements.rng.random_range(1..2_500));
         let backoff = (!leaving).then_some(Backoff::For(time));
         let statement = Statement { leaving, backoff, cold: None, limit: None };
         let endpoint = Arc::new(endpoint.clone());
         let event = Event::EndpointStatus { endpoint, asked, statement, sent: at, at };
-        let life = self.lives[number];
-        self.at(at, Happening::Event(number, life, Box::new(event)));
+        let incarnation = self.incarnations[number];
+        self.at(at, SimEvent::Event(number, incarnation, Box::new(event)));
     }
 
     /// Records a status that a gateway is about to receive.
-    pub fn hears(&mut self, number: usize, event: &Event) {
-        let life = self.lives[number];
+    pub fn record_status(&mut self, number: usize, event: &Event) {
+        let incarnation = self.incarnations[number];
         let (Some(statements), Event::EndpointStatus { endpoint, statement, at, .. }) =
             (&mut self.statements, event)
         else {
             return;
         };
-        statements.said += 1;
-        let between = (number, life, endpoint.id.to_string());
+        statements.received += 1;
+        let recipient = (number, incarnation, endpoint.id.to_string());
         if let Some(Backoff::For(time)) = statement.backoff {
-            let until = statements.paused.entry(between.clone()).or_default();
+            let until = statements.paused.entry(recipient.clone()).or_default();
             *until = (*until).max(*at + time);
         }
         if statement.leaving {
-            statements.leaving.insert(between);
+            statements.leaving.insert(recipient);
         }
     }
 
     /// Checks that a gateway sends nothing that the endpoint's last status excludes.
     pub fn check_statements(&mut self, number: usize, action: &Action) {
-        let (now, life) = (self.now, self.lives[number]);
+        let (now, incarnation) = (self.now, self.incarnations[number]);
         let Some(statements) = &mut self.statements else {
             return;
         };
@@ -100,12 +100,12 @@
             Action::FreeResults { endpoint, .. } | Action::Probe(endpoint) => (endpoint, false),
             _ => return,
         };
-        let between = (number, life, endpoint.id.to_string());
-        if let Some(until) = statements.paused.get(&between) {
+        let recipient = (number, incarnation, endpoint.id.to_string());
+        if let Some(until) = statements.paused.get(&recipient) {
             statements.checked += 1;
-            assert!(now >= *until, "{endpoint:?} wants nothing until {until:?}, it is {now:?}");
+            assert!(now >= *until, "{endpoint:?} is paused until {until:?}, it is {now:?}");
         }
-        let leaves = statements.leaving.contains(&between);
+        let leaves = statements.leaving.contains(&recipient);
         assert!(!is_work || !leaves, "{endpoint:?} leaves, and gets {action:?}");
     }
 }
--- a/tests/directenv/said.rs
+++ b/tests/directenv/status_headers.rs
@@ -12,10 +12,10 @@
 use stackmast::direct::published::model::{Endpoint, Repeat, Route};
 use stackmast::direct::statement::{Backoff, CallKind, Statement};
 
-use super::gateway::{Says, calls, good, incoming, listed, serving, submit};
+use super::gateway::{Heartbeat, calls, good, incoming, listed, serving, submit};
 use super::{address, endpoint, ms, route};
 
-pub const LEAVES: Statement = Statement { leaving: true, backoff: None, cold: None, limit: None };
+pub const LEAVING: Statement = Statement { leaving: true, backoff: None, cold: None, limit: None };
 pub const SECONDS: u64 = 1_000;
 
 pub fn pause(backoff: Backoff) -> Statement {
@@ -27,7 +27,7 @@
 }
 
 /// An endpoint in an incarnation.
-pub fn living(service: &str, number: u16, incarnation: u64) -> Arc<Endpoint> {
+pub fn with_incarnation(service: &str, number: u16, incarnation: u64) -> Arc<Endpoint> {
     Arc::new(Endpoint { incarnation, ..(*endpoint(service, number)).clone() })
 }
 
@@ -45,7 +45,7 @@
     route("staged", Repeat::Idempotent, &[("first", &[], 10), ("second", &[0], 10)])
 }
 
-pub fn says(
+pub fn receive_status(
     core: &mut GatewayCore,
     who: &Arc<Endpoint>,
     statement: Statement,
@@ -67,13 +67,13 @@
 }
 
 /// Returns the endpoint to which a new request is sent.
-pub fn goes_to(core: &mut GatewayCore, caller: u64, at: u64) -> Option<String> {
+pub fn chosen_endpoint(core: &mut GatewayCore, caller: u64, at: u64) -> Option<String> {
     let actions = submit(core, caller, incoming("r", Vec::new()), ms(at));
     calls(&actions).first().map(|(_, params)| params.endpoint.id.to_string())
 }
 
 /// Whether any of many requests, all of which are answered, is sent to an endpoint.
-pub fn gets_any(core: &mut GatewayCore, who: &str, first: u64, at: u64) -> bool {
+pub fn is_chosen(core: &mut GatewayCore, who: &str, first: u64, at: u64) -> bool {
     (first..first + 20).any(|caller| {
         let actions = submit(core, caller, incoming("r", Vec::new()), ms(at));
         let Some((attempt, params)) = calls(&actions).into_iter().next() else {
@@ -107,16 +107,21 @@
 }
 
 pub fn departure(service: &str, number: u16, incarnation: u64) -> Departure {
-    Departure::of(&living(service, number, incarnation))
+    Departure::of(&with_incarnation(service, number, incarnation))
 }
 
-pub fn hear(core: &mut GatewayCore, departures: Vec<Departure>, at: u64) -> Vec<Action> {
-    let message = Says { members: vec![serving(2)], departures, ..Says::default() }.message();
+pub fn receive_departures(
+    core: &mut GatewayCore,
+    departures: Vec<Departure>,
+    at: u64,
+) -> Vec<Action> {
+    let message =
+        Heartbeat { members: vec![serving(2)], departures, ..Heartbeat::default() }.message();
     core.handle(Event::PeerMessage { from: address(2), message }, ms(at))
 }
 
 /// Departures that are sent with a heartbeat or with an answer to one.
-pub fn told(actions: &[Action]) -> Vec<Departure> {
+pub fn sent_departures(actions: &[Action]) -> Vec<Departure> {
     let messages = actions.iter().filter_map(|a| match a {
         Action::Broadcast { message: PeerMessage::Gossip { departures, .. }, .. }
         | Action::Send { message: PeerMessage::Gossip { departures, .. }, .. } => Some(departures),
--- a/tests/directenv/stops.rs
+++ b/tests/directenv/stops.rs
@@ -9,23 +9,23 @@
 use stackmast::direct::stop::{MIN_DURATION, max_duration};
 
 use super::ms;
-use super::world::{BUSY, GATEWAYS, Happening, World};
+use super::world::{BUSY, GATEWAYS, SimEvent, World};
 
 /// Time from SIGTERM to SIGKILL.
 pub const GRACE: Duration = Duration::from_secs(8);
 /// Requests accepted later than this after the signal are never cut by the end of the process.
 const NEVER_CUT_AFTER: Duration = Duration::from_secs(3);
 /// Interval at which a stopping process checks whether anything is in flight.
-const LOOK: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Number of callers in a world with stops.
 const CALLERS: u64 = 160;
 /// Time within which all callers arrive.
-const COMING: Duration = Duration::from_secs(16);
+const ARRIVAL_TIME: Duration = Duration::from_secs(16);
 /// Timeout of a request.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// The shortest run of a route as a share of the longest; the difference is smaller than the margin
 /// that is added to the longest run seen.
-const SHORTEST: f64 = 0.88;
+const MIN_LENGTH_SHARE: f64 = 0.88;
 
 /// Results about the ends of stopped processes.
 #[derive(Debug, Default)]
@@ -47,19 +47,19 @@
     /// Creates a world whose streams last for seconds and whose gateways are stopped.
     pub fn with_stops(seed: u64) -> Self {
         let mut world = Self::empty(seed);
-        world.allowed = PATIENCE;
+        world.timeout = TIMEOUT;
         world.end = Duration::from_secs(45);
         for route in 0..world.routes.len() {
-            world.routes[route].timeout = PATIENCE;
+            world.routes[route].timeout = TIMEOUT;
             world.lengths[route] = world.time_in(ms(200), ms(6_500));
         }
         world.open();
         for number in 0..CALLERS {
-            let at = world.time_in(ms(300), COMING);
+            let at = world.time_in(ms(300), ARRIVAL_TIME);
             let gateway = world.rng.random_range(0..usize::from(GATEWAYS));
-            world.at(at, Happening::Arrival(gateway, number + 1));
+            world.at(at, SimEvent::Arrival(gateway, number + 1));
         }
-        world.plan_troubles();
+        world.plan_faults();
         world.plan_stops();
         world
     }
@@ -72,10 +72,10 @@
         for number in 0..count {
             let gateway = (begin + number) % usize::from(GATEWAYS);
             let at = first + self.time_in(ms(0), ms(2_000));
-            self.at(at, Happening::Stop(gateway));
+            self.at(at, SimEvent::Stop(gateway));
             if self.chance(0.3) {
                 let again = at + self.time_in(ms(5), ms(3_000));
-                self.at(again, Happening::Stop(gateway));
+                self.at(again, SimEvent::Stop(gateway));
             }
         }
     }
@@ -83,7 +83,7 @@
     /// Returns a random length for a stream of a route.
     pub fn stream_length(&mut self, route: usize) -> Duration {
         let share =
-            if self.allowed < PATIENCE { 1.0 } else { self.rng.random_range(SHORTEST..1.0) };
+            if self.timeout < TIMEOUT { 1.0 } else { self.rng.random_range(MIN_LENGTH_SHARE..1.0) };
         self.lengths[route].mul_f64(share)
     }
 
@@ -92,23 +92,24 @@
         if self.gateways[number].is_none() {
             return;
         }
-        let life = self.lives[number];
-        self.stops.signals.entry((number, life)).or_insert(self.now);
+        let incarnation = self.incarnations[number];
+        self.stops.signals.entry((number, incarnation)).or_insert(self.now);
         let at = self.now;
         self.handle(number, Event::Drain { at });
-        self.at(self.now + MIN_DURATION, Happening::LookAtStop(number, life));
+        self.at(self.now + MIN_DURATION, SimEvent::CheckStop(number, incarnation));
     }
 
     /// Ends the process when nothing is in flight, or when its grace period is over.
-    pub fn look_at_stop(&mut self, number: usize, life: u64) {
-        let Some(core) = self.gateways[number].as_ref().filter(|_| self.lives[number] == life)
+    pub fn check_stop(&mut self, number: usize, incarnation: u64) {
+        let Some(core) =
+            self.gateways[number].as_ref().filter(|_| self.incarnations[number] == incarnation)
         else {
             return;
         };
-        let must_end = self.stops.signals[&(number, life)] + max_duration(GRACE);
+        let must_end = self.stops.signals[&(number, incarnation)] + max_duration(GRACE);
         if core.in_flight() > 0 && self.now < must_end {
-            let next = (self.now + LOOK).min(must_end);
-            return self.at(next, Happening::LookAtStop(number, life));
+            let next = (self.now + CHECK_INTERVAL).min(must_end);
+            return self.at(next, SimEvent::CheckStop(number, incarnation));
         }
         self.stops.ending = true;
         self.handle(number, Event::Shutdown);
@@ -117,18 +118,19 @@
         // Jobs of other gateways continue at their next owner.
         let jobs = self.gateways[number].as_ref().map_or(0, |core| core.in_flight());
         self.stops.jobs_left += jobs;
-        let mut own = self.callers.values().filter(|c| (c.gateway, c.life) == (number, life));
-        let unanswered = own.find(|c| !c.gone && c.answers == 0).map(|c| &c.id);
+        let mut own =
+            self.callers.values().filter(|c| (c.gateway, c.incarnation) == (number, incarnation));
+        let unanswered = own.find(|c| !c.disconnected && c.answers == 0).map(|c| &c.id);
         assert_eq!(unanswered, None, "no answer at the end of a process");
         self.kill(number);
         let back = self.now + self.time_in(ms(50), ms(1_500));
-        self.at(back, Happening::Restart(number));
+        self.at(back, SimEvent::Restart(number));
     }
 
     /// Records the final answer of a request at a gateway that is stopping.
     pub fn answered_in_stop(&mut self, caller: u64, how: &str) {
         let seen = &self.callers[&caller];
-        let Some(signal) = self.stops.signals.get(&(seen.gateway, seen.life)) else {
+        let Some(signal) = self.stops.signals.get(&(seen.gateway, seen.incarnation)) else {
             return;
         };
         let after = seen.arrived.checked_sub(*signal);
@@ -139,7 +141,7 @@
             self.stops.cut += 1;
             let late = after.filter(|a| *a > NEVER_CUT_AFTER);
             let (id, length) = (&seen.id, self.lengths[seen.route]);
-            assert!(late.is_none(), "{id}: of {length:?}, taken {late:?} after the signal, cut");
+            assert!(late.is_none(), "{id}: of {length:?}, accepted {late:?} after the signal, cut");
         }
     }
 }
--- a/tests/directenv/timeline.rs
+++ b/tests/directenv/timeline.rs
@@ -1,5 +1,5 @@
-//! Common parts of the fleets in virtual time: the queue of happenings, and gateways with their
-//! wakeups.
+//! Common parts of the fleets in virtual time: the queue of simulated events, and gateways with
+//! their wakeups.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 /// The first gateways are the seeds of all others.
 const SEEDS: u16 = 3;
 
-/// Happenings by time, and the random numbers of one schedule.
+/// Simulated events by time, and the random numbers of one schedule.
 pub struct Timeline<H> {
     pub rng: StdRng,
     pub now: Duration,
@@ -29,9 +29,9 @@
         Self { rng, now: Duration::ZERO, queue: BTreeMap::new(), next: 0 }
     }
 
-    pub fn at(&mut self, at: Duration, happening: H) {
+    pub fn at(&mut self, at: Duration, sim_event: H) {
         self.next += 1;
-        self.queue.insert((at, self.next), happening);
+        self.queue.insert((at, self.next), sim_event);
     }
 
     /// Returns a random time between `from` and `to` milliseconds.
@@ -39,12 +39,12 @@
         Duration::from_micros(self.rng.random_range(from * 1_000..to * 1_000))
     }
 
-    /// Moves the time on to the next happening before `end` and returns it.
+    /// Moves the time on to the next event before `end` and returns it.
     pub fn step(&mut self, end: Duration) -> Option<H> {
-        let ((at, _), happening) = self.queue.pop_first()?;
+        let ((at, _), sim_event) = self.queue.pop_first()?;
         (at <= end).then(|| {
             self.now = at;
-            happening
+            sim_event
         })
     }
 }
@@ -52,7 +52,7 @@
 /// One gateway and its connections.
 pub struct Gateway {
     pub core: Option<GatewayCore>,
-    pub life: u64,
+    pub incarnation: u64,
     pub wake: Option<Duration>,
     /// The gateway is cut off from peers and the store, not from endpoints.
     pub is_cut: bool,
@@ -64,7 +64,14 @@
 impl Gateway {
     /// A gateway that has not been started.
     pub fn new(in_touch_from: Duration) -> Self {
-        Self { core: None, life: 0, wake: None, is_cut: false, is_away: false, in_touch_from }
+        Self {
+            core: None,
+            incarnation: 0,
+            wake: None,
+            is_cut: false,
+            is_away: false,
+            in_touch_from,
+        }
     }
 
     /// Starts the gateway in a new incarnation.
@@ -72,11 +79,11 @@
         if setup.seeds.is_empty() {
             setup.seeds = (1..=SEEDS).map(address).collect();
         }
-        self.life += 1;
+        self.incarnation += 1;
         self.wake = None;
         self.core = Some(GatewayCore::new(Setup {
             address: address(number as u16 + 1),
-            incarnation: self.life,
+            incarnation: self.incarnation,
             ..setup
         }));
     }
@@ -84,7 +91,7 @@
     /// Kills the gateway.
     pub fn kill(&mut self) {
         self.core = None;
-        self.life += 1;
+        self.incarnation += 1;
     }
 
     /// Handles an event; returns the actions, and the next wakeup if it is earlier than the planned
@@ -103,7 +110,7 @@
 
 /// Converts an action of a gateway to the events at its peers: the port of each peer, and its
 /// event.
-pub fn heard(number: usize, action: Action) -> Vec<(u16, Event)> {
+pub fn peer_events(number: usize, action: Action) -> Vec<(u16, Event)> {
     let from = address(number as u16 + 1);
     let (to, message) = match action {
         Action::Send { to, message } => (vec![to], message),
--- a/tests/directenv/world.rs
+++ b/tests/directenv/world.rs
@@ -26,7 +26,7 @@
 const END: Duration = Duration::from_secs(20);
 
 /// Something that happens at a time.
-pub enum Happening {
+pub enum SimEvent {
     Event(usize, u64, Box<Event>),
     Arrival(usize, u64),
     Kill(usize),
@@ -34,23 +34,23 @@
     Drain(usize),
     /// SIGTERM; the process ends some time after it.
     Stop(usize),
-    LookAtStop(usize, u64),
+    CheckStop(usize, u64),
     Cut(usize, bool),
     Publish,
     /// The publisher becomes unavailable for this gateway.
-    Away(usize),
+    PublisherUnavailable(usize),
     /// The publisher is available again, and most entries have expired.
-    Lapse,
+    ExpireEntries,
     Wake(usize, u64),
 }
 
 /// One request as its caller sees it.
 pub struct Caller {
     pub gateway: usize,
-    pub life: u64,
+    pub incarnation: u64,
     pub route: usize,
     pub id: String,
-    pub gone: bool,
+    pub disconnected: bool,
     pub answers: usize,
     pub refused_not_run: bool,
     pub arrived: Duration,
@@ -62,10 +62,10 @@
     pub rng: StdRng,
     pub now: Duration,
     pub queue: BinaryHeap<Reverse<(Duration, u64)>>,
-    pub happenings: HashMap<u64, Happening>,
+    pub sim_events: HashMap<u64, SimEvent>,
     pub next: u64,
     pub gateways: Vec<Option<GatewayCore>>,
-    pub lives: Vec<u64>,
+    pub incarnations: Vec<u64>,
     pub cut: HashSet<usize>,
     /// The next planned wakeup of each gateway, and the gateway's incarnation.
     pub wakes: HashMap<usize, (Duration, u64)>,
@@ -86,11 +86,11 @@
     pub results: HashMap<String, (String, usize, usize)>,
     /// Results that were produced and not freed.
     pub kept: HashMap<String, Duration>,
-    pub trouble: f64,
+    pub fault_rate: f64,
     /// Longest duration of the streams of each route.
     pub lengths: Vec<Duration>,
     /// Timeout of a request.
-    pub allowed: Duration,
+    pub timeout: Duration,
     pub end: Duration,
     pub stops: Stops,
     /// Status headers that endpoints send; `None` if they send none.
@@ -105,7 +105,7 @@
         world
     }
 
-    /// Creates a world without gateways and happenings.
+    /// Creates a world without gateways and events.
     pub(super) fn empty(seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let graph: &[(&str, &[usize], u64)] =
@@ -120,16 +120,16 @@
             staged,
             again,
         ];
-        let trouble = rng.random_range(0.0..0.25);
+        let fault_rate = rng.random_range(0.0..0.25);
         let lengths = vec![ms(60); routes.len()];
         Self {
             rng,
             now: Duration::ZERO,
             queue: BinaryHeap::new(),
-            happenings: HashMap::new(),
+            sim_events: HashMap::new(),
             next: 0,
             gateways: Vec::new(),
-            lives: Vec::new(),
+            incarnations: Vec::new(),
             cut: HashSet::new(),
             wakes: HashMap::new(),
             last_message: HashMap::new(),
@@ -143,9 +143,9 @@
             runs: HashMap::new(),
             results: HashMap::new(),
             kept: HashMap::new(),
-            trouble,
+            fault_rate,
             lengths,
-            allowed: Duration::from_secs(5),
+            timeout: Duration::from_secs(5),
             end: END,
             stops: Stops::default(),
             statements: None,
@@ -156,7 +156,7 @@
     pub(super) fn open(&mut self) {
         for _ in 0..GATEWAYS {
             self.gateways.push(None);
-            self.lives.push(0);
+            self.incarnations.push(0);
         }
         for number in 0..usize::from(GATEWAYS) {
             self.start(number);
@@ -167,41 +167,41 @@
         for number in 0..CALLERS {
             let at = self.time_in(ms(300), BUSY);
             let gateway = self.rng.random_range(0..usize::from(GATEWAYS));
-            self.at(at, Happening::Arrival(gateway, number + 1));
+            self.at(at, SimEvent::Arrival(gateway, number + 1));
         }
-        self.plan_troubles();
+        self.plan_faults();
     }
 
-    pub(super) fn plan_troubles(&mut self) {
+    pub(super) fn plan_faults(&mut self) {
         for _ in 0..self.rng.random_range(0..4) {
             let gateway = self.rng.random_range(0..usize::from(GATEWAYS));
             let at = self.time_in(ms(300), BUSY);
             let back = at + self.time_in(ms(50), ms(1_500));
             let (bad, good) = match self.rng.random_range(0..3) {
-                0 => (Happening::Kill(gateway), Happening::Restart(gateway)),
-                1 => (Happening::Cut(gateway, true), Happening::Cut(gateway, false)),
-                _ => (Happening::Drain(gateway), Happening::Kill(gateway)),
+                0 => (SimEvent::Kill(gateway), SimEvent::Restart(gateway)),
+                1 => (SimEvent::Cut(gateway, true), SimEvent::Cut(gateway, false)),
+                _ => (SimEvent::Drain(gateway), SimEvent::Kill(gateway)),
             };
-            let restarts = matches!(good, Happening::Kill(_));
+            let restarts = matches!(good, SimEvent::Kill(_));
             self.at(at, bad);
             self.at(back + if restarts { ms(4_000) } else { ms(0) }, good);
             if restarts {
-                self.at(back + ms(4_200), Happening::Restart(gateway));
+                self.at(back + ms(4_200), SimEvent::Restart(gateway));
             }
         }
         for _ in 0..self.rng.random_range(0..4) {
             let at = self.time_in(ms(300), BUSY);
-            self.at(at, Happening::Publish);
+            self.at(at, SimEvent::Publish);
         }
         if self.chance(0.3) {
             let at = self.time_in(ms(300), ms(1_500));
             for number in 0..usize::from(GATEWAYS) {
-                self.at(at, Happening::Away(number));
+                self.at(at, SimEvent::PublisherUnavailable(number));
             }
             let back = at + self.time_in(ms(1_500), ms(3_000));
-            self.at(back, Happening::Lapse);
+            self.at(back, SimEvent::ExpireEntries);
             let listed = back + self.time_in(ms(100), ms(2_500));
-            self.at(listed, Happening::Publish);
+            self.at(listed, SimEvent::Publish);
         }
     }
 
@@ -209,29 +209,29 @@
         Duration::from_micros(self.rng.random_range(from.as_micros() as u64..to.as_micros() as u64))
     }
 
-    pub fn at(&mut self, at: Duration, happening: Happening) {
+    pub fn at(&mut self, at: Duration, sim_event: SimEvent) {
         self.next += 1;
         self.queue.push(Reverse((at, self.next)));
-        self.happenings.insert(self.next, happening);
+        self.sim_events.insert(self.next, sim_event);
     }
 
     pub fn chance(&mut self, share: f64) -> bool {
         self.rng.random_bool(share)
     }
 
-    pub fn is_troubled(&mut self) -> bool {
-        self.now < BUSY && self.chance(self.trouble)
+    pub fn has_fault(&mut self) -> bool {
+        self.now < BUSY && self.chance(self.fault_rate)
     }
 
     fn start(&mut self, number: usize) {
         if self.gateways[number].is_some() {
             return;
         }
-        self.lives[number] += 1;
+        self.incarnations[number] += 1;
         let seeds = (0..GATEWAYS).map(|n| address(n + 1)).collect();
         self.gateways[number] = Some(GatewayCore::new(Setup {
             address: address(number as u16 + 1),
-            incarnation: self.lives[number],
+            incarnation: self.incarnations[number],
             capacity: 1_000,
             data_centre: format!("hall-{}", number % 2).into(),
             seeds,
@@ -242,7 +242,7 @@
         }));
         self.versions_seen[number] = 0;
         // Some gateways start while the publisher is unavailable and must learn from their peers.
-        if self.lives[number] == 1 || self.chance(0.7) {
+        if self.incarnations[number] == 1 || self.chance(0.7) {
             self.publish_to(number);
         }
         self.handle(number, Event::Tick);
@@ -254,41 +254,43 @@
                 break;
             }
             self.now = self.now.max(at);
-            let happening = self.happenings.remove(&id).expect("what was planned");
-            self.happen(happening);
+            let sim_event = self.sim_events.remove(&id).expect("what was planned");
+            self.apply(sim_event);
         }
         self.check_end();
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Event(number, life, event) if self.lives[number] == life => {
+    fn apply(&mut self, sim_event: SimEvent) {
+        match sim_event {
+            SimEvent::Event(number, incarnation, event)
+                if self.incarnations[number] == incarnation =>
+            {
                 self.handle(number, *event);
             }
-            Happening::Wake(number, life) if self.lives[number] == life => {
+            SimEvent::Wake(number, incarnation) if self.incarnations[number] == incarnation => {
                 self.handle(number, Event::Tick);
             }
-            Happening::Event(..) | Happening::Wake(..) => {}
-            Happening::Arrival(number, caller) => self.arrive(number, caller),
-            Happening::Kill(number) => self.kill(number),
-            Happening::Restart(number) => self.start(number),
-            Happening::Drain(number) => {
+            SimEvent::Event(..) | SimEvent::Wake(..) => {}
+            SimEvent::Arrival(number, caller) => self.arrive(number, caller),
+            SimEvent::Kill(number) => self.kill(number),
+            SimEvent::Restart(number) => self.start(number),
+            SimEvent::Drain(number) => {
                 let at = self.now;
                 self.handle(number, Event::Drain { at });
             }
-            Happening::Stop(number) => self.stop(number),
-            Happening::LookAtStop(number, life) => self.look_at_stop(number, life),
-            Happening::Cut(number, true) => {
+            SimEvent::Stop(number) => self.stop(number),
+            SimEvent::CheckStop(number, incarnation) => self.check_stop(number, incarnation),
+            SimEvent::Cut(number, true) => {
                 self.cut.insert(number);
             }
-            Happening::Cut(number, false) => {
+            SimEvent::Cut(number, false) => {
                 self.cut.remove(&number);
             }
-            Happening::Publish => self.publish(),
-            Happening::Away(number) => {
+            SimEvent::Publish => self.publish(),
+            SimEvent::PublisherUnavailable(number) => {
                 self.handle(number, Event::PublisherStatus { answers: false })
             }
-            Happening::Lapse => self.lapse(),
+            SimEvent::ExpireEntries => self.expire_entries(),
         }
     }
 
@@ -296,15 +298,18 @@
         if self.gateways[number].take().is_none() {
             return;
         }
-        let incarnation = self.lives[number];
+        let incarnation = self.incarnations[number];
         for caller in self.callers.values_mut().filter(|c| c.gateway == number) {
-            caller.gone |= caller.life == incarnation;
+            caller.disconnected |= caller.incarnation == incarnation;
         }
         let lost = address(number as u16 + 1);
         for other in (0..usize::from(GATEWAYS)).filter(|o| *o != number) {
             let event = Event::PeerInboundFailed { address: lost, incarnation };
             let delay = self.time_in(ms(1), ms(5));
-            self.at(self.now + delay, Happening::Event(other, self.lives[other], Box::new(event)));
+            self.at(
+                self.now + delay,
+                SimEvent::Event(other, self.incarnations[other], Box::new(event)),
+            );
         }
     }
 
@@ -318,7 +323,7 @@
         let pieces = spec.stages.iter().map(|_| self.rng.random_range(1..4)).collect();
         let incoming = IncomingRequest {
             id: id.as_str().into(),
-            timeout: Some(self.allowed),
+            timeout: Some(self.timeout),
             generation: spec.streams.then(|| super::fakes::generation(caller)),
             content: Fingerprint::of_content("POST", &id, b""),
             ..super::gateway::incoming(&spec.name, pieces)
@@ -327,29 +332,29 @@
             caller,
             Caller {
                 gateway: number,
-                life: self.lives[number],
+                incarnation: self.incarnations[number],
                 route,
                 id,
-                gone: false,
+                disconnected: false,
                 answers: 0,
                 refused_not_run: false,
                 arrived: self.now,
-                deadline: self.now + self.allowed,
+                deadline: self.now + self.timeout,
             },
         );
         self.handle(number, Event::Submit { caller, incoming });
-        if self.trouble > 0.0 && self.chance(0.1) {
+        if self.fault_rate > 0.0 && self.chance(0.1) {
             let at = self.now + self.time_in(ms(10), ms(900));
             let event = Event::CallerDisconnected { caller };
-            self.callers.get_mut(&caller).expect("the caller").gone = true;
-            self.at(at, Happening::Event(number, self.lives[number], Box::new(event)));
+            self.callers.get_mut(&caller).expect("the caller").disconnected = true;
+            self.at(at, SimEvent::Event(number, self.incarnations[number], Box::new(event)));
         }
     }
 
     pub(super) fn handle(&mut self, number: usize, event: Event) {
         let now = self.now;
         if self.gateways[number].is_some() {
-            self.hears(number, &event);
+            self.record_status(number, &event);
         }
         let Some(core) = self.gateways[number].as_mut() else {
             return;
@@ -357,13 +362,13 @@
         let actions = core.handle(event, now);
         let version = core.table().deployment.version;
         let wake = core.next_wakeup().map_or(now + ms(1_000), |at| at.max(now + ms(1)));
-        assert!(version >= self.versions_seen[number], "a configuration went back");
+        assert!(version >= self.versions_seen[number], "the configuration version decreased");
         self.versions_seen[number] = version;
-        let life = self.lives[number];
-        let planned = self.wakes.get(&number).filter(|(at, l)| *at > now && *l == life);
+        let incarnation = self.incarnations[number];
+        let planned = self.wakes.get(&number).filter(|(at, l)| *at > now && *l == incarnation);
         if planned.is_none_or(|(at, _)| wake < *at) {
-            self.wakes.insert(number, (wake, life));
-            self.at(wake, Happening::Wake(number, life));
+            self.wakes.insert(number, (wake, incarnation));
+            self.at(wake, SimEvent::Wake(number, incarnation));
         }
         for action in actions {
             self.act(number, action);
@@ -383,9 +388,9 @@
                 }
             }
             Action::RequestReport(endpoint) => self.report(number, &endpoint),
-            Action::Send { to, message } => self.tell(number, to, message),
+            Action::Send { to, message } => self.send(number, to, message),
             Action::Broadcast { to, message } => {
-                to.into_iter().for_each(|to| self.tell(number, to, message.clone()));
+                to.into_iter().for_each(|to| self.send(number, to, message.clone()));
             }
             Action::Deliver { caller, .. } => {
                 let is_stream = self.routes[self.callers[&caller].route].streams;
@@ -394,7 +399,7 @@
                 }
             }
             Action::EndStream { caller } => self.answer(caller, "streamed"),
-            Action::AbortStream { caller } if !self.callers[&caller].gone => {
+            Action::AbortStream { caller } if !self.callers[&caller].disconnected => {
                 self.answer(caller, "broken off");
             }
             Action::Refuse { caller, refusal } => {
@@ -417,17 +422,17 @@
         self.answered_in_stop(caller, how);
     }
 
-    fn tell(&mut self, number: usize, to: SocketAddr, message: PeerMessage) {
+    fn send(&mut self, number: usize, to: SocketAddr, message: PeerMessage) {
         let other = usize::from(to.port() - 1);
         let is_cut = self.cut.contains(&number) || self.cut.contains(&other);
         if self.gateways[other].is_none() {
             let event = Event::PeerUnreachable { address: to };
             return self.at(
                 self.now + ms(1),
-                Happening::Event(number, self.lives[number], Box::new(event)),
+                SimEvent::Event(number, self.incarnations[number], Box::new(event)),
             );
         }
-        if is_cut || self.is_troubled() && self.chance(0.1) {
+        if is_cut || self.has_fault() && self.chance(0.1) {
             return;
         }
         let event = Event::PeerMessage { from: address(number as u16 + 1), message };
@@ -435,19 +440,19 @@
         let before = self.last_message.get(&(number, other)).copied().unwrap_or_default();
         let at = (self.now + delay).max(before);
         self.last_message.insert((number, other), at);
-        self.at(at, Happening::Event(other, self.lives[other], Box::new(event)));
+        self.at(at, SimEvent::Event(other, self.incarnations[other], Box::new(event)));
     }
 
     fn check_end(&self) {
-        for caller in self.callers.values().filter(|c| !c.gone) {
+        for caller in self.callers.values().filter(|c| !c.disconnected) {
             assert_eq!(caller.answers, 1, "{}: no final answer", caller.id);
         }
         for core in self.gateways.iter().flatten() {
-            assert_eq!(core.in_flight(), 0, "something was never ended");
+            assert_eq!(core.in_flight(), 0, "requests are still in flight");
         }
-        let killed = self.lives.iter().any(|l| *l > 1);
-        if !killed && self.trouble < 0.001 {
-            assert!(self.kept.is_empty(), "results that nobody freed");
+        let killed = self.incarnations.iter().any(|l| *l > 1);
+        if !killed && self.fault_rate < 0.001 {
+            assert!(self.kept.is_empty(), "results that were not freed");
         }
     }
 }
--- a/tests/era_schedules.rs
+++ b/tests/era_schedules.rs
@@ -30,12 +30,12 @@
 fn a_restored_store_reverts_nothing_and_live_endpoints_stay_in_use() {
     let first = number("STACKMAST_SEED", 1);
     let count = number("STACKMAST_SCHEDULES", SCHEDULES);
-    let (mut returns, mut looks, mut failed) = (0, 0, Vec::new());
+    let (mut returns, mut checks, mut failed) = (0, 0, Vec::new());
     for seed in first..first + count {
         let mut fleet = Fleet::new(seed, gateways(seed));
         fleet.run();
         returns += fleet.seen.returns;
-        looks += fleet.seen.looks;
+        checks += fleet.seen.checks;
         if !fleet.seen.breaches.is_empty() {
             failed.push(format!(
                 "seed {seed}, {} gateways: {:#?}",
@@ -45,9 +45,9 @@
         }
     }
     println!(
-        "{count} schedules from seed {first}: {returns} returns, {looks} looks, {} failed",
+        "{count} schedules from seed {first}: {returns} returns, {checks} checks, {} failed",
         failed.len()
     );
     assert!(failed.is_empty(), "{}", failed.join("\n"));
-    assert!(returns > 0 && looks > 0, "the checks are not idle");
+    assert!(returns > 0 && checks > 0, "the checks are not idle");
 }
--- a/tests/kept_frames.rs
+++ b/tests/kept_frames.rs
@@ -72,7 +72,8 @@
     }
 }
 
-/// Guards against an unmarked frame that is read by the form of a greeting, where that form is always marked.
+/// Guards against an unmarked frame that is read by the form of a greeting, where that form is
+/// always marked.
 #[test_case(FORM)]
 #[test_case(BEFORE)]
 #[test_case(EARLIER)]
--- a/tests/limit_schedules.rs
+++ b/tests/limit_schedules.rs
@@ -6,7 +6,7 @@
 
 mod directenv;
 
-use directenv::limits::{Fleet, Seen, Shape, Work};
+use directenv::limits::{Distribution, Fleet, Shape, Stats};
 use directenv::ms;
 use test_case::test_case;
 
@@ -24,38 +24,39 @@
         4 => 12 + (seed / 6) as usize % 20,
         _ => 40 + (seed / 6) as usize % 61,
     };
-    let work = [Work::Spread, Work::AtOne, Work::Moves][(seed / 2) as usize % 3];
-    Shape { gateways, work, pressure: 60.0, is_troubled: !seed.is_multiple_of(4) }
+    let distribution = [Distribution::Spread, Distribution::OneGateway, Distribution::Rotating]
+        [(seed / 2) as usize % 3];
+    Shape { gateways, distribution, pressure: 60.0, has_faults: !seed.is_multiple_of(4) }
 }
 
-fn run(seed: u64) -> Seen {
+fn run(seed: u64) -> Stats {
     let shape = shape(seed);
     let mut fleet = Fleet::new(seed, shape);
     fleet.plan_limits();
-    if shape.is_troubled {
-        fleet.plan_trouble();
+    if shape.has_faults {
+        fleet.plan_faults();
     }
     fleet.run();
-    fleet.seen
+    fleet.stats
 }
 
 #[test]
 fn no_endpoint_gets_more_than_its_limit_allows() {
     let first = number("STACKMAST_SEED", 1);
     let count = number("STACKMAST_SCHEDULES", SCHEDULES);
-    let mut all = Seen::default();
+    let mut all = Stats::default();
     let mut broken = Vec::new();
     for seed in first..first + count {
-        let seen = run(seed);
-        if !seen.breaches.is_empty() {
-            broken.push((seed, shape(seed), seen.breaches[0].clone(), seen.breaches.len()));
+        let stats = run(seed);
+        if !stats.breaches.is_empty() {
+            broken.push((seed, shape(seed), stats.breaches[0].clone(), stats.breaches.len()));
         }
-        all.calls += seen.calls;
-        all.refused += seen.refused;
-        all.withheld += seen.withheld;
-        all.spans += seen.spans;
-        all.got += seen.got;
-        all.allowed += seen.allowed;
+        all.calls += stats.calls;
+        all.refused += stats.refused;
+        all.withheld += stats.withheld;
+        all.spans += stats.spans;
+        all.received += stats.received;
+        all.allowed += stats.allowed;
     }
     println!("{count} schedules from seed {first}: {all:?}");
     assert!(broken.is_empty(), "{broken:#?}");
@@ -64,24 +65,24 @@
 
 /// An endpoint under load gets most of what its limit allows, and no request is refused while other
 /// endpoints have free capacity.
-#[test_case(1, Work::Spread, 1.0, 0.7; "one gateway")]
-#[test_case(3, Work::Spread, 1.0, 0.7; "three")]
-#[test_case(3, Work::AtOne, 2.5, 0.5; "three of which one has all the work")]
-#[test_case(10, Work::Spread, 4.0, 0.7; "ten")]
-#[test_case(10, Work::AtOne, 4.0, 0.5; "ten of which one has all the work")]
-#[test_case(10, Work::Moves, 4.0, 0.5; "ten with work that moves")]
-#[test_case(100, Work::Spread, 1.0, 0.7; "a hundred")]
-#[test_case(100, Work::Spread, 10.0, 0.7; "a hundred, and a higher limit")]
-#[test_case(100, Work::AtOne, 1.0, 0.5; "a hundred of which one has all the work")]
-fn the_allowed_rate_is_used(gateways: usize, work: Work, limit: f64, share: f64) {
-    let shape = Shape { gateways, work, pressure: 60.0, is_troubled: false };
+#[test_case(1, Distribution::Spread, 1.0, 0.7; "one gateway")]
+#[test_case(3, Distribution::Spread, 1.0, 0.7; "three")]
+#[test_case(3, Distribution::OneGateway, 2.5, 0.5; "three, one of which gets all requests")]
+#[test_case(10, Distribution::Spread, 4.0, 0.7; "ten")]
+#[test_case(10, Distribution::OneGateway, 4.0, 0.5; "ten, one of which gets all requests")]
+#[test_case(10, Distribution::Rotating, 4.0, 0.5; "ten, which get the requests in turn")]
+#[test_case(100, Distribution::Spread, 1.0, 0.7; "a hundred")]
+#[test_case(100, Distribution::Spread, 10.0, 0.7; "a hundred, and a higher limit")]
+#[test_case(100, Distribution::OneGateway, 1.0, 0.5; "a hundred, one of which gets all requests")]
+fn the_allowed_rate_is_used(gateways: usize, distribution: Distribution, limit: f64, share: f64) {
+    let shape = Shape { gateways, distribution, pressure: 60.0, has_faults: false };
     let mut fleet = Fleet::new(7, shape);
-    fleet.names(0, Some(limit), ms(5_000));
+    fleet.announce_limit(0, Some(limit), ms(5_000));
     fleet.run();
-    let seen = &fleet.seen;
-    assert!(seen.breaches.is_empty(), "{:?}", seen.breaches);
-    let got = seen.got / seen.allowed;
-    println!("{gateways} gateways, {work:?}, {limit} a second: {got:.2} of it");
-    assert!(got >= share && got <= 1.0, "{got}");
-    assert_eq!(seen.refused, 0);
+    let stats = &fleet.stats;
+    assert!(stats.breaches.is_empty(), "{:?}", stats.breaches);
+    let received = stats.received / stats.allowed;
+    println!("{gateways} gateways, {distribution:?}, {limit} a second: {received:.2} of it");
+    assert!(received >= share && received <= 1.0, "{received}");
+    assert_eq!(stats.refused, 0);
 }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -52,7 +52,7 @@
 
 #[test_case(0, 400, None; "freed before the second stage begins")]
 #[test_case(0, 900, Some(PathRefusal::InsufficientMemory); "still taken when it begins")]
-#[test_case(350, 900, Some(PathRefusal::InsufficientMemory); "taken meanwhile")]
+#[test_case(350, 900, Some(PathRefusal::InsufficientMemory); "taken while it runs")]
 #[test_case(1_500, 2_500, None; "taken after it has ended")]
 fn memory_counts_at_the_time_when_a_stage_needs_it(
     from: u64,
@@ -87,8 +87,8 @@
     );
 }
 
-#[test_case(700, 700; "when there will be")]
-#[test_case(120, 150; "not sooner than callers can usefully return")]
+#[test_case(700, 700; "when memory is free")]
+#[test_case(120, 150; "not before a useful retry time")]
 fn a_refusal_for_memory_has_the_time_at_which_some_is_free(until: u64, retry_after: u64) {
     let mut full = stage(&[]);
     full.memory_in_use = taken(0, until, 95.0);
--- a/tests/poison_schedules.rs
+++ b/tests/poison_schedules.rs
@@ -9,7 +9,7 @@
 
 mod directenv;
 
-use directenv::poison::{Fleet, MOST_LATE, Seen};
+use directenv::poison::{Fleet, MAX_LATE, Stats};
 use test_case::test_case;
 
 const SCHEDULES: u64 = 30;
@@ -34,36 +34,41 @@
 fn earlier_excessive_crashes_do_not_recur(seed: u64) {
     let mut fleet = Fleet::new(seed, gateways(seed));
     fleet.run();
-    assert!(fleet.seen.most_late <= MOST_LATE, "{:?}", fleet.seen);
+    assert!(fleet.stats.max_late <= MAX_LATE, "{:?}", fleet.stats);
 }
 
 #[test]
 fn a_poison_crashes_few_endpoints_and_no_other_request_is_refused() {
     let first = number("STACKMAST_SEED", 1);
     let count = number("STACKMAST_SCHEDULES", SCHEDULES);
-    let mut all = Seen::default();
+    let mut all = Stats::default();
     let mut ended = Vec::new();
     let mut breaches = Vec::new();
     for seed in first..first + count {
         let mut fleet = Fleet::new(seed, gateways(seed));
         fleet.run();
-        let seen = fleet.seen;
-        if seen.most_late > MOST_LATE || seen.wronged > 0 {
-            breaches.push(format!("seed {seed}, {} gateways: {seen:?}", gateways(seed)));
+        let stats = fleet.stats;
+        if stats.max_late > MAX_LATE || stats.wrongly_refused > 0 {
+            breaches.push(format!("seed {seed}, {} gateways: {stats:?}", gateways(seed)));
         }
-        ended.extend(seen.ended.values().copied());
-        all.poison_refused += seen.poison_refused;
-        all.served += seen.served;
-        all.other_endings += seen.other_endings;
-        all.shared_calls += seen.shared_calls;
-        all.unlucky += seen.unlucky;
-        all.most_late = all.most_late.max(seen.most_late);
+        ended.extend(stats.ended.values().copied());
+        all.poison_refused += stats.poison_refused;
+        all.served += stats.served;
+        all.other_crashes += stats.other_crashes;
+        all.shared_calls += stats.shared_calls;
+        all.refused_after_crashes += stats.refused_after_crashes;
+        all.max_late = all.max_late.max(stats.max_late);
     }
     ended.sort_unstable();
     println!("{count} schedules from seed {first}: endpoints ended by a poison {ended:?}, {all:?}");
     assert!(breaches.is_empty(), "{}", breaches.join("\n"));
-    let unlucky = all.served / ONE_UNLUCKY_IN;
-    assert!(all.unlucky <= unlucky.max(3), "{} unlucky of {}", all.unlucky, all.served);
-    let checks = [all.poison_refused, all.served, all.other_endings, all.shared_calls];
-    assert!(checks.iter().all(|seen| *seen > 0), "the checks are not idle: {checks:?}");
+    let refused_after_crashes = all.served / ONE_UNLUCKY_IN;
+    assert!(
+        all.refused_after_crashes <= refused_after_crashes.max(3),
+        "{} unlucky of {}",
+        all.refused_after_crashes,
+        all.served
+    );
+    let checks = [all.poison_refused, all.served, all.other_crashes, all.shared_calls];
+    assert!(checks.iter().all(|stats| *stats > 0), "the checks are not idle: {checks:?}");
 }
--- a/tests/schedules/endpoints.rs
+++ b/tests/schedules/endpoints.rs
@@ -11,15 +11,15 @@
 use super::{FIRST_ENGINE, Step, ToAgent, World, output};
 
 impl World {
-    pub(super) fn endpoint_says(
+    pub(super) fn send_endpoint_event(
         &mut self,
         index: usize,
         after: Duration,
         id: AttemptId,
         event: EndpointEvent,
     ) {
-        let life = self.agents[index].life;
-        let message = ToAgent::Endpoint { life, attempt: id, event };
+        let epoch = self.agents[index].epoch;
+        let message = ToAgent::Endpoint { epoch, attempt: id, event };
         self.at(self.now + after, Step::Agent { index, message });
     }
 
@@ -30,7 +30,12 @@
             CallStart::Begin(run) => {
                 if self.happens(self.odds.endpoint) {
                     let failure = failed(EndpointFailure::Unreachable);
-                    return self.endpoint_says(index, Duration::from_millis(1), attempt, failure);
+                    return self.send_endpoint_event(
+                        index,
+                        Duration::from_millis(1),
+                        attempt,
+                        failure,
+                    );
                 }
                 let input = String::from_utf8_lossy(&run.input).into_owned();
                 self.runs.push(runs::Run {
@@ -50,7 +55,12 @@
                 Some(text) => (text.clone(), offset as usize),
                 None => {
                     let failure = failed(EndpointFailure::UnknownAttempt);
-                    return self.endpoint_says(index, Duration::from_millis(1), attempt, failure);
+                    return self.send_endpoint_event(
+                        index,
+                        Duration::from_millis(1),
+                        attempt,
+                        failure,
+                    );
                 }
             },
         };
@@ -76,16 +86,16 @@
                     _ => EndpointFailure::ConnectionLost,
                 };
                 let event = EndpointEvent::Failed(failure);
-                return self.endpoint_says(index, after, attempt, event);
+                return self.send_endpoint_event(index, after, attempt, event);
             }
             let end = (offset + self.rng.random_range(1..24)).min(text.len());
             let data = Bytes::copy_from_slice(&text.as_bytes()[offset..end]);
             let event = EndpointEvent::Chunk { offset: offset as u64, data };
-            self.endpoint_says(index, after, attempt, event);
+            self.send_endpoint_event(index, after, attempt, event);
             after += self.millis(0, 20);
             offset = end;
         }
         let event = EndpointEvent::Done { length: text.len() as u64 };
-        self.endpoint_says(index, after, attempt, event);
+        self.send_endpoint_event(index, after, attempt, event);
     }
 }
--- a/tests/schedules/mod.rs
+++ b/tests/schedules/mod.rs
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone)]
 struct Call {
     gateway: usize,
-    life: u64,
+    epoch: u64,
     number: u64,
     attempt: AttemptId,
     agent: usize,
@@ -65,8 +65,8 @@
 enum ToAgent {
     Run(CallId, Run),
     Closed(CallId),
-    Revoke { gateway: usize, life: u64, attempt: AttemptId, agent: Incarnation, cancel: bool },
-    Endpoint { life: u64, attempt: AttemptId, event: EndpointEvent },
+    Revoke { gateway: usize, epoch: u64, attempt: AttemptId, agent: Incarnation, cancel: bool },
+    Endpoint { epoch: u64, attempt: AttemptId, event: EndpointEvent },
     Tick,
 }
 
@@ -83,21 +83,21 @@
 #[derive(Debug, Clone)]
 enum Step {
     Submit(usize),
-    Gateway { index: usize, life: u64, event: gateway::Event },
+    Gateway { index: usize, epoch: u64, event: gateway::Event },
     Agent { index: usize, message: ToAgent },
     Fault(Fault),
 }
 
 struct Node<C> {
     core: C,
-    life: u64,
+    epoch: u64,
     frozen_until: Timestamp,
 }
 
 #[derive(Debug)]
-struct Asked {
+struct Submitted {
     gateway: usize,
-    life: u64,
+    epoch: u64,
     at: Timestamp,
     submission: Submission,
     request: history::Request,
@@ -110,7 +110,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Revoking {
     gateway: usize,
-    life: u64,
+    epoch: u64,
     attempt: AttemptId,
     cancel: bool,
 }
@@ -129,7 +129,7 @@
     cut_until: HashMap<(usize, usize), Timestamp>,
     streams: HashMap<(usize, AttemptId), String>,
     runs: Vec<runs::Run>,
-    asked: Vec<Asked>,
+    submitted: Vec<Submitted>,
     view: Arc<View>,
 }
 
@@ -197,7 +197,7 @@
             cut_until: HashMap::new(),
             streams: HashMap::new(),
             runs: Vec::new(),
-            asked: Vec::new(),
+            submitted: Vec::new(),
             view,
         };
         world.gateways = (0..GATEWAYS).map(|i| world.new_gateway(i, 0)).collect();
@@ -206,25 +206,25 @@
         world
     }
 
-    fn new_gateway(&self, index: usize, life: u64) -> Node<GatewayCore> {
+    fn new_gateway(&self, index: usize, epoch: u64) -> Node<GatewayCore> {
         let mut core = GatewayCore::new(gateway::Setup {
             host: format!("gateway-{index}").into(),
-            incarnation: Incarnation(10_000 + index as u64 * 1_000 + life),
+            incarnation: Incarnation(10_000 + index as u64 * 1_000 + epoch),
             in_flight: 100,
             records: 100,
             result_bytes: 1 << 16,
-            seed: life * 10 + index as u64,
+            seed: epoch * 10 + index as u64,
         });
         core.handle(gateway::Event::Configure { view: self.view.clone() }, self.now);
-        Node { core, life, frozen_until: Duration::ZERO }
+        Node { core, epoch, frozen_until: Duration::ZERO }
     }
 
-    fn new_agent(&self, index: usize, life: u64) -> Node<AgentCore> {
-        let incarnation = Incarnation(1 + index as u64 * 1_000 + life);
+    fn new_agent(&self, index: usize, epoch: u64) -> Node<AgentCore> {
+        let incarnation = Incarnation(1 + index as u64 * 1_000 + epoch);
         let bounds = agent::Bounds { queue: 16, ..agent::Bounds::default() };
         let mut core = AgentCore::new(incarnation, &format!("endpoint-{index}"), bounds);
         core.handle(serving(index, false), self.now);
-        Node { core, life, frozen_until: Duration::ZERO }
+        Node { core, epoch, frozen_until: Duration::ZERO }
     }
 
     fn plan(&mut self) {
@@ -246,10 +246,10 @@
             let expected = expected(&key);
             let request = history::Request { key, may_repeat, stages, expected, seen: Vec::new() };
             let gateway = self.rng.random_range(0..GATEWAYS);
-            let life = 0;
-            self.asked.push(Asked {
+            let epoch = 0;
+            self.submitted.push(Submitted {
                 gateway,
-                life,
+                epoch,
                 at,
                 submission,
                 request,
@@ -260,12 +260,12 @@
         }
         for _ in 0..self.odds.faults {
             let at = self.millis(0, 3_000);
-            let fault = self.any_fault();
+            let fault = self.random_fault();
             self.at(at, Step::Fault(fault));
         }
     }
 
-    fn any_fault(&mut self) -> Fault {
+    fn random_fault(&mut self) -> Fault {
         let agent = self.rng.random_range(0..AGENTS);
         let gateway = self.rng.random_range(0..GATEWAYS);
         let time = self.millis(10, 4_000);
@@ -295,7 +295,7 @@
 
     /// Schedules a step after a network delay, which is seldom long; messages may overtake each
     /// other.
-    fn soon(&mut self, step: Step) {
+    fn send_later(&mut self, step: Step) {
         let delay = if self.happens(20) { self.millis(50, 800) } else { self.millis(0, 3) };
         self.at(self.now + delay, step);
     }
@@ -321,34 +321,34 @@
 
     /// Number of complete final answers.
     pub fn whole(&self) -> usize {
-        let whole = |a: &&Asked| matches!(a.request.seen.first(), Some(Seen::Whole(_)));
-        self.asked.iter().filter(whole).count()
+        let whole = |a: &&Submitted| matches!(a.request.seen.first(), Some(Seen::Whole(_)));
+        self.submitted.iter().filter(whole).count()
     }
 
     fn take(&mut self, step: Step) {
         match step {
             Step::Submit(i) => {
-                let index = self.asked[i].gateway;
-                let life = self.gateways[index].life;
-                self.asked[i].life = life;
-                let submission = self.asked[i].submission.clone();
+                let index = self.submitted[i].gateway;
+                let epoch = self.gateways[index].epoch;
+                self.submitted[i].epoch = epoch;
+                let submission = self.submitted[i].submission.clone();
                 let event = gateway::Event::Submit { caller: i as u64, submission };
-                self.deliver_to_gateway(index, life, event);
+                self.deliver_to_gateway(index, epoch, event);
             }
-            Step::Gateway { index, life, event } => self.deliver_to_gateway(index, life, event),
+            Step::Gateway { index, epoch, event } => self.deliver_to_gateway(index, epoch, event),
             Step::Agent { index, message } => self.deliver_to_agent(index, message),
-            Step::Fault(fault) => self.break_something(fault),
+            Step::Fault(fault) => self.inject_fault(fault),
         }
     }
 
-    fn break_something(&mut self, fault: Fault) {
+    fn inject_fault(&mut self, fault: Fault) {
         match fault {
             Fault::KillAgent(i) => {
-                self.agents[i] = self.new_agent(i, self.agents[i].life + 1);
+                self.agents[i] = self.new_agent(i, self.agents[i].epoch + 1);
                 self.break_calls(|call| call.agent == i);
             }
             Fault::KillGateway(i) => {
-                self.gateways[i] = self.new_gateway(i, self.gateways[i].life + 1);
+                self.gateways[i] = self.new_gateway(i, self.gateways[i].epoch + 1);
                 self.break_calls(|call| call.gateway == i);
             }
             Fault::FreezeAgent(i, time) => freeze(&mut self.agents[i], self.now + time),
@@ -372,31 +372,31 @@
     /// Both sides learn of the broken call, each after its own delay.
     fn break_call(&mut self, i: usize) {
         self.calls[i].broken = true;
-        let Call { gateway, life, number, attempt, agent, .. } = self.calls[i].clone();
+        let Call { gateway, epoch, number, attempt, agent, .. } = self.calls[i].clone();
         let event = gateway::Event::CallLost { call: number, attempt };
-        self.soon(Step::Gateway { index: gateway, life, event });
-        self.soon(Step::Agent { index: agent, message: ToAgent::Closed(CallId(i as u64)) });
+        self.send_later(Step::Gateway { index: gateway, epoch, event });
+        self.send_later(Step::Agent { index: agent, message: ToAgent::Closed(CallId(i as u64)) });
     }
 
-    fn deliver_to_gateway(&mut self, index: usize, life: u64, event: gateway::Event) {
+    fn deliver_to_gateway(&mut self, index: usize, epoch: u64, event: gateway::Event) {
         let node = &mut self.gateways[index];
-        if node.life != life {
+        if node.epoch != epoch {
             return;
         }
         if self.now < node.frozen_until {
             let at = node.frozen_until;
-            return self.at(at, Step::Gateway { index, life, event });
+            return self.at(at, Step::Gateway { index, epoch, event });
         }
         if let gateway::Event::Submit { caller, .. } = event {
             // A frozen gateway accepts its callers' requests when it resumes.
-            self.asked[caller as usize].at = self.now;
+            self.submitted[caller as usize].at = self.now;
         }
         for action in self.gateways[index].core.handle(event, self.now) {
-            self.act_gateway(index, life, action);
+            self.act_gateway(index, epoch, action);
         }
         if let Some(at) = self.gateways[index].core.next_wakeup() {
             let at = at.max(self.now + Duration::from_micros(1));
-            self.at(at, Step::Gateway { index, life, event: gateway::Event::Tick });
+            self.at(at, Step::Gateway { index, epoch, event: gateway::Event::Tick });
         }
     }
 
@@ -408,13 +408,13 @@
         let event = match message {
             ToAgent::Run(call, run) => agent::Event::Run { call, run },
             ToAgent::Closed(call) => agent::Event::CallClosed { call },
-            ToAgent::Revoke { gateway, life, attempt, agent, cancel } => {
+            ToAgent::Revoke { gateway, epoch, attempt, agent, cancel } => {
                 let call = CallId(1 << 40 | self.next_step);
-                self.revocations.insert(call, Revoking { gateway, life, attempt, cancel });
+                self.revocations.insert(call, Revoking { gateway, epoch, attempt, cancel });
                 agent::Event::Revoke { call, attempt, agent }
             }
-            ToAgent::Endpoint { life, attempt, event } => {
-                if life != self.agents[index].life {
+            ToAgent::Endpoint { epoch, attempt, event } => {
+                if epoch != self.agents[index].epoch {
                     return;
                 }
                 agent::Event::Endpoint { attempt, event }
@@ -448,29 +448,29 @@
                 stages_run: refusal.stages_run,
             },
         };
-        let asked = &mut self.asked[caller];
-        asked.request.seen.push(seen);
-        asked.answered_at.get_or_insert(self.now);
-        asked.frozen_until = self.gateways[asked.gateway].frozen_until;
+        let submitted = &mut self.submitted[caller];
+        submitted.request.seen.push(seen);
+        submitted.answered_at.get_or_insert(self.now);
+        submitted.frozen_until = self.gateways[submitted.gateway].frozen_until;
     }
 
     fn breaches(&self) -> Vec<String> {
-        let requests: Vec<_> = self.asked.iter().map(|a| a.request.clone()).collect();
+        let requests: Vec<_> = self.submitted.iter().map(|a| a.request.clone()).collect();
         let broken = history::check(&requests, &self.runs);
         let mut found: Vec<_> = broken.iter().map(Breach::to_string).collect();
-        for asked in &self.asked {
-            let key = &asked.request.key;
-            let gateway = &self.gateways[asked.gateway];
-            let answers = asked.request.seen.len();
+        for submitted in &self.submitted {
+            let key = &submitted.request.key;
+            let gateway = &self.gateways[submitted.gateway];
+            let answers = submitted.request.seen.len();
             if answers > 1 {
                 found.push(format!("{key}: {answers} final answers"));
             }
-            if answers == 0 && gateway.life == asked.life {
+            if answers == 0 && gateway.epoch == submitted.epoch {
                 found.push(format!("{key}: no final answer"));
             }
-            let latest = (asked.at + DEADLINE).max(asked.frozen_until);
-            if asked.answered_at.is_some_and(|at| at > latest + Duration::from_millis(1)) {
-                found.push(format!("{key}: answered late, at {:?}", asked.answered_at));
+            let latest = (submitted.at + DEADLINE).max(submitted.frozen_until);
+            if submitted.answered_at.is_some_and(|at| at > latest + Duration::from_millis(1)) {
+                found.push(format!("{key}: answered late, at {:?}", submitted.answered_at));
             }
         }
         for (i, node) in self.gateways.iter().enumerate() {
--- a/tests/schedules/network.rs
+++ b/tests/schedules/network.rs
@@ -10,25 +10,25 @@
 use super::{Call, REVOKE_TIMEOUT, Revoking, Step, ToAgent, World, agent_of};
 
 impl World {
-    pub(super) fn act_gateway(&mut self, index: usize, life: u64, action: gateway::Action) {
+    pub(super) fn act_gateway(&mut self, index: usize, epoch: u64, action: gateway::Action) {
         match action {
             gateway::Action::Run { endpoint, call, run } => {
-                self.send_run(index, life, agent_of(&endpoint), call, run);
+                self.send_run(index, epoch, agent_of(&endpoint), call, run);
             }
             gateway::Action::Revoke { endpoint, attempt, agent } => {
-                self.send_revoke(index, life, agent_of(&endpoint), attempt, agent, false);
+                self.send_revoke(index, epoch, agent_of(&endpoint), attempt, agent, false);
             }
             gateway::Action::Cancel { endpoint, attempt, agent } => {
-                self.send_revoke(index, life, agent_of(&endpoint), attempt, agent, true);
+                self.send_revoke(index, epoch, agent_of(&endpoint), attempt, agent, true);
             }
             gateway::Action::CloseCall { call } => {
                 let found = self.calls.iter().position(|c| {
-                    !c.broken && c.gateway == index && c.life == life && c.number == call
+                    !c.broken && c.gateway == index && c.epoch == epoch && c.number == call
                 });
                 if let Some(i) = found {
                     self.calls[i].broken = true;
                     let message = ToAgent::Closed(CallId(i as u64));
-                    self.soon(Step::Agent { index: self.calls[i].agent, message });
+                    self.send_later(Step::Agent { index: self.calls[i].agent, message });
                 }
             }
             gateway::Action::Answer { caller, answer } => self.answered(caller as usize, answer),
@@ -41,7 +41,7 @@
     pub(super) fn send_run(
         &mut self,
         gateway: usize,
-        life: u64,
+        epoch: u64,
         agent: usize,
         number: u64,
         run: Run,
@@ -49,16 +49,16 @@
         let attempt = run.attempt;
         if self.is_cut(gateway, agent) {
             let event = gateway::Event::CallUnsent { call: number, attempt };
-            return self.soon(Step::Gateway { index: gateway, life, event });
+            return self.send_later(Step::Gateway { index: gateway, epoch, event });
         }
-        let call = Call { gateway, life, number, attempt, agent, broken: false };
+        let call = Call { gateway, epoch, number, attempt, agent, broken: false };
         let i = self.calls.len();
         self.calls.push(call.clone());
         // Lost before or after the delivery: the gateway can't tell which.
         let lost = self.happens(self.odds.lost);
         if !lost || self.rng.random_bool(0.5) {
             let message = ToAgent::Run(CallId(i as u64), run.clone());
-            self.soon(Step::Agent { index: agent, message });
+            self.send_later(Step::Agent { index: agent, message });
         }
         if lost {
             self.break_call(i);
@@ -74,19 +74,19 @@
     pub(super) fn send_revoke(
         &mut self,
         gateway: usize,
-        life: u64,
+        epoch: u64,
         index: usize,
         attempt: AttemptId,
         agent: Incarnation,
         cancel: bool,
     ) {
         let event = gateway::Event::Revoked { attempt, outcome: Revocation::Unreachable };
-        self.at(self.now + REVOKE_TIMEOUT, Step::Gateway { index: gateway, life, event });
+        self.at(self.now + REVOKE_TIMEOUT, Step::Gateway { index: gateway, epoch, event });
         if self.is_cut(gateway, index) || self.happens(self.odds.lost) {
             return;
         }
-        let message = ToAgent::Revoke { gateway, life, attempt, agent, cancel };
-        self.soon(Step::Agent { index, message });
+        let message = ToAgent::Revoke { gateway, epoch, attempt, agent, cancel };
+        self.send_later(Step::Agent { index, message });
     }
 
     pub(super) fn is_cut(&self, gateway: usize, agent: usize) -> bool {
@@ -104,15 +104,15 @@
                 }
             }
             agent::Action::Revoked { call, outcome } => {
-                let Some(asked) = self.revocations.remove(&call) else {
+                let Some(submitted) = self.revocations.remove(&call) else {
                     return;
                 };
-                let Revoking { gateway, life, attempt, cancel } = asked;
+                let Revoking { gateway, epoch, attempt, cancel } = submitted;
                 if cancel && outcome == Revocation::Begun {
                     self.feed_agent(index, agent::Event::Cancel { attempt });
                 } else if !cancel {
                     let event = gateway::Event::Revoked { attempt, outcome };
-                    self.soon(Step::Gateway { index: gateway, life, event });
+                    self.send_later(Step::Gateway { index: gateway, epoch, event });
                 }
             }
             agent::Action::Call { attempt, start } => self.call_endpoint(index, attempt, start),
@@ -130,7 +130,7 @@
         attempt: AttemptId,
         reply: Reply,
     ) {
-        let Call { gateway, life, number, broken, .. } = self.calls[call.0 as usize].clone();
+        let Call { gateway, epoch, number, broken, .. } = self.calls[call.0 as usize].clone();
         if broken {
             return;
         }
@@ -141,8 +141,8 @@
         let (from, load) = (core.incarnation(), Some(core.load()));
         let event = gateway::Event::Reply { call: number, attempt, from, load, reply };
         if self.happens(self.odds.doubled) {
-            self.soon(Step::Gateway { index: gateway, life, event: event.clone() });
+            self.send_later(Step::Gateway { index: gateway, epoch, event: event.clone() });
         }
-        self.soon(Step::Gateway { index: gateway, life, event });
+        self.send_later(Step::Gateway { index: gateway, epoch, event });
     }
 }
--- a/tests/testenv/mod.rs
+++ b/tests/testenv/mod.rs
@@ -12,7 +12,7 @@
 use stackmast_testbed::runs::expected_text;
 
 /// How long a condition may take to become true.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 /// The daemon built together with these tests.
 pub fn daemon() -> Program {
@@ -34,7 +34,7 @@
 pub async fn until<F: Future<Output = bool>>(what: &str, mut holds: impl FnMut() -> F) {
     let start = Instant::now();
     while !holds().await {
-        assert!(start.elapsed() < PATIENCE, "{what}");
+        assert!(start.elapsed() < WAIT_LIMIT, "{what}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
