--- a/src/tool.rs
+++ b/src/tool.rs
@@ -34,7 +34,7 @@
 use crate::policy::limit::Limiter;
 use crate::policy::predict::SizeClass;
 use crate::policy::route::{RoutingContext, choose};
-use crate::story::story;
+use crate::request_trace::trace_request;
 use crate::tables::{endpoints_table, explanation_text, requests_table, status_table};
 use crate::view::{Location, View};
 
@@ -87,12 +87,12 @@
         source: std::io::Error,
     },
     /// No log line concerns the request.
-    #[snafu(display("no log line concerns {request}; {unread} lines are not log events"))]
+    #[snafu(display("no log line concerns {request}; {unparsed} lines are not log events"))]
     UnknownRequest {
         /// Identifier of the request.
         request: String,
         /// Number of lines that are not log events.
-        unread: usize,
+        unparsed: usize,
     },
     /// A file exceeds the maximum size of a configuration.
     #[snafu(display("{path}: {len} bytes exceed the maximum of {MAX_CONFIG_LEN}"))]
@@ -216,7 +216,7 @@
         ["try", file, pipeline, organisation, labels @ ..] => {
             try_request(Path::new(file), pipeline, organisation, labels, &matches)
         }
-        ["story", request, files @ ..] => show_story(request, files),
+        ["story", request, files @ ..] => show_trace(request, files),
         ["status"] => show::<Status>(&matches, "/v1/status", status_table),
         ["endpoints"] => {
             show::<Vec<EndpointStatus>>(&matches, "/v1/endpoints", |e| endpoints_table(e))
@@ -244,7 +244,7 @@
     }
 }
 
-fn show_story(request: &str, files: &[&str]) -> Result<String, ToolError> {
+fn show_trace(request: &str, files: &[&str]) -> Result<String, ToolError> {
     let mut lines: Box<dyn Read> = Box::new(std::io::empty());
     for path in files {
         let file = File::open(path).context(FileSnafu { path: *path })?;
@@ -255,11 +255,11 @@
         lines = Box::new(std::io::stdin());
     }
     let path = files.join(" ");
-    let story = story(request, BufReader::new(lines)).context(FileSnafu { path })?;
-    if story.chapters.is_empty() {
-        return UnknownRequestSnafu { request, unread: story.unread }.fail();
+    let trace = trace_request(request, BufReader::new(lines)).context(FileSnafu { path })?;
+    if trace.lines.is_empty() {
+        return UnknownRequestSnafu { request, unparsed: trace.unparsed }.fail();
     }
-    Ok(story.to_string())
+    Ok(trace.to_string())
 }
 
 fn read_config(path: &Path) -> Result<Config, ToolError> {
--- a/tests/story.rs
+++ b/tests/story.rs
@@ -1,6 +1,6 @@
 //! Reconstructs the history of a request from the log lines of many processes.
 
-use stackmast::story::story;
+use stackmast::request_trace::trace_request;
 
 const LINES: &str = r#"
    0.26 front-1 {"at_unix_ms":105,"host":"front-1","event":"sent","request":"a","endpoint":"i-1"}
@@ -16,9 +16,8 @@
 
 #[test]
 fn a_story_is_ordered_by_time_over_all_processes() {
-    let story = story("a", LINES.as_bytes()).expect("readable");
-    let events: Vec<_> =
-        story.chapters.iter().map(|c| (c.host.as_str(), c.event.as_str())).collect();
+    let story = trace_request("a", LINES.as_bytes()).expect("readable");
+    let events: Vec<_> = story.lines.iter().map(|c| (c.host.as_str(), c.event.as_str())).collect();
     assert_eq!(
         events,
         [
@@ -28,11 +27,11 @@
             ("front-1", "sent"),
         ]
     );
-    assert!(story.chapters[1].inputs.contains("pieces=1/2"), "{}", story.chapters[1].inputs);
-    assert_eq!(story.unread, 1, "what is none of the log's is counted");
+    assert!(story.lines[1].inputs.contains("pieces=1/2"), "{}", story.lines[1].inputs);
+    assert_eq!(story.unparsed, 1, "what is none of the log's is counted");
 }
 
 #[test]
 fn an_unknown_request_has_no_story() {
-    assert!(story("nobody", LINES.as_bytes()).expect("readable").chapters.is_empty());
+    assert!(trace_request("nobody", LINES.as_bytes()).expect("readable").lines.is_empty());
 }
