--- a/src/agent/shell.rs
+++ b/src/agent/shell.rs
@@ -201,9 +201,7 @@
 
     /// Revokes an attempt; with `cancel`, also ends an attempt that has begun.
     pub async fn revoke(&self, request: v1::RevokeRequest) -> Result<v1::RevokeReply, Status> {
-        let attempt = request
-            .attempt
-            .ok_or_else(|| Status::invalid_argument("revoke request has no attempt"))?;
+        let attempt = request.attempt.ok_or_else(|| Status::invalid_argument("no attempt"))?;
         let attempt = AttemptId::from(attempt);
         let call = self.calls.next();
         let (sender, receiver) = oneshot::channel();
--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Snafu, PartialEq, Clone)]
 pub enum Problem {
     /// Two items of the same kind have the same name.
-    #[snafu(display("duplicate name {name:?}"))]
+    #[snafu(display("the name {name:?} stands twice"))]
     Duplicate {
         /// Name of the item.
         name: String,
--- a/src/config/labels.rs
+++ b/src/config/labels.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Snafu, PartialEq, Eq, Clone)]
 pub enum SelectorError {
     /// The selector is longer than [`MAX_SELECTOR_LEN`].
-    #[snafu(display("the selector has {len} bytes, the maximum is {MAX_SELECTOR_LEN}"))]
+    #[snafu(display("a selector has at most {MAX_SELECTOR_LEN} bytes, this one has {len}"))]
     TooLong {
         /// Length of the selector, in bytes.
         len: usize,
--- a/src/config/parts.rs
+++ b/src/config/parts.rs
@@ -34,7 +34,7 @@
         name: String,
     },
     /// The content of a part does not match the digest in the manifest.
-    #[snafu(display("part {name:?} has digest {found}, the manifest lists {expected}"))]
+    #[snafu(display("part {name:?} has digest {found}, the manifest says {expected}"))]
     Digest {
         /// Name of the part.
         name: String,
@@ -44,7 +44,7 @@
         expected: String,
     },
     /// A part is not valid JSON for its kind, which is given by its name.
-    #[snafu(display("part {name:?} can't be parsed or serialised: {source}"))]
+    #[snafu(display("part {name:?} can't be read: {source}"))]
     Syntax {
         /// Name of the part.
         name: String,
@@ -52,7 +52,7 @@
         source: serde_json::Error,
     },
     /// The kind of a part is unknown to this version of the program.
-    #[snafu(display("part {name:?} has an unknown kind"))]
+    #[snafu(display("part {name:?} is of no known kind"))]
     UnknownKind {
         /// Name of the part.
         name: String,
--- a/src/http.rs
+++ b/src/http.rs
@@ -26,16 +26,16 @@
         limit: usize,
     },
     /// The body was not complete before the timeout.
-    #[snafu(display("the body was not received within {} ms", limit.as_millis()))]
+    #[snafu(display("the body did not come within {} ms", limit.as_millis()))]
     TooSlow {
         /// The timeout.
         limit: Duration,
     },
     /// The connection failed while the body was being received.
-    #[snafu(display("the connection failed before the body was complete"))]
+    #[snafu(display("the body was cut"))]
     Incomplete,
     /// The body doesn't match the documented JSON schema.
-    #[snafu(display("the body is invalid: {message}"))]
+    #[snafu(display("the body can't be read: {message}"))]
     Syntax {
         /// Position and cause of the error.
         message: String,
@@ -52,7 +52,7 @@
     #[snafu(display("a valid bearer token is required"))]
     Unauthorised,
     /// The requested object is not known, or no longer known.
-    #[snafu(display("{what} is not known, or no longer known"))]
+    #[snafu(display("{what} is not known here, or no longer"))]
     Unknown {
         /// The requested object.
         what: String,
--- a/src/message.rs
+++ b/src/message.rs
@@ -28,7 +28,7 @@
 
 /// The text is not a valid request identifier.
 #[derive(Debug, Snafu, PartialEq, Eq)]
-#[snafu(display("{text:?} is not a valid request id: expected gateway.incarnation.number"))]
+#[snafu(display("{text:?} is not a request id: expected gateway.incarnation.number"))]
 pub struct BadRequestId {
     /// The invalid text.
     text: String,
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -44,7 +44,7 @@
     ) -> Result<Response<v1::ExchangeReply>, Status> {
         let request = request.into_inner();
         if request.protocol != PROTOCOL {
-            return Err(Status::failed_precondition("unsupported protocol version"));
+            return Err(Status::failed_precondition("another version of the protocol"));
         }
         if let Ok(peer) = request.address.parse::<SocketAddr>() {
             let spread = self.spread.clone();
@@ -63,7 +63,7 @@
                 installed.and_then(|i| serde_json::to_vec(&i.bundle.manifest).ok())
             }
             HOSTS => serde_json::to_vec(&*self.spread.hosts()).ok(),
-            _ => return Err(Status::not_found("unknown document")),
+            _ => return Err(Status::not_found("no such document")),
         };
         let manifest = manifest.unwrap_or_default();
         m::control_bytes("out", manifest.len());
@@ -75,7 +75,7 @@
         request: Request<v1::PartsRequest>,
     ) -> Result<Response<Self::PartsStream>, Status> {
         let installed = self.spread.store().installed();
-        let installed = installed.ok_or_else(|| Status::not_found("no configuration in force"))?;
+        let installed = installed.ok_or_else(|| Status::not_found("no configuration"))?;
         let (sender, receiver) = mpsc::channel(PARTS_BUFFERED);
         tokio::spawn(async move {
             for digest in request.into_inner().digests {
--- a/src/policy/explain.rs
+++ b/src/policy/explain.rs
@@ -266,10 +266,10 @@
         Verdict::Slower { predicted } => {
             format!("predicted {:.2} ms, not the best", millis(predicted))
         }
-        Verdict::NotCompared => "not in the compared sample".to_owned(),
+        Verdict::NotCompared => "not among the few compared".to_owned(),
         Verdict::Tried => "tried before".to_owned(),
-        Verdict::Suspected => "suspected: it failed recently".to_owned(),
-        Verdict::Leaving => "leaving: it accepts no new work".to_owned(),
+        Verdict::Suspected => "suspected: it failed lately".to_owned(),
+        Verdict::Leaving => "leaving: it takes no new work".to_owned(),
     }
 }
 
@@ -285,16 +285,16 @@
             )
         }
         Step::Sent(decision) => sent_sentence(decision),
-        Step::Begun { waited } => format!("started after waiting {:.2} ms", millis(*waited)),
+        Step::Begun { waited } => format!("begun after waiting {:.2} ms", millis(*waited)),
         Step::StageDone { stage, service, length } => {
             format!("{stage} done: {length} bytes, {:.2} ms at the endpoint", millis(*service))
         }
         Step::AgentRefused { endpoint, reason } => agent_refused_sentence(endpoint, *reason),
         Step::ConnectionFailed { endpoint } => {
-            format!("the connection to the agent of {endpoint} failed")
+            format!("the connection to the agent of {endpoint} was lost")
         }
-        Step::Revoked { endpoint } => format!("revoked at {endpoint}: it waited too long"),
-        Step::Completed => "the complete response was sent to the caller".to_owned(),
+        Step::Revoked { endpoint } => format!("taken back from {endpoint}: it waited too long"),
+        Step::Completed => "the whole answer went to the caller".to_owned(),
         Step::Refused(refusal) => refusal_sentence(refusal),
     }
 }
@@ -302,10 +302,10 @@
 fn agent_refused_sentence(endpoint: &str, reason: AgentReason) -> String {
     match reason {
         AgentReason::WrongIncarnation => {
-            format!("the agent of {endpoint} has another incarnation: sent again")
+            format!("the agent of {endpoint} was greeted and named its life: asked again")
         }
-        AgentReason::Stalled => format!("{endpoint} stalled: attempt abandoned"),
-        other => format!("the agent of {endpoint} ended the attempt: {}", other.as_str()),
+        AgentReason::Stalled => format!("{endpoint} stalled: given up there"),
+        other => format!("the agent of {endpoint} gave it up: {}", other.as_str()),
     }
 }
 
@@ -322,5 +322,5 @@
 fn refusal_sentence(refusal: &Refusal) -> String {
     let reason = serde_json::to_string(&refusal.reason).unwrap_or_default();
     let ran = serde_json::to_string(&refusal.ran).unwrap_or_default();
-    format!("refused: {reason}, ran {ran}, retry after {:.0} ms", millis(refusal.retry_after))
+    format!("refused: {reason}, ran {ran}, come back in {:.0} ms", millis(refusal.retry_after))
 }
--- a/src/wire/convert.rs
+++ b/src/wire/convert.rs
@@ -20,7 +20,7 @@
         field: &'static str,
     },
     /// A field has an invalid value.
-    #[snafu(display("field {field} is invalid"))]
+    #[snafu(display("the field {field} can't be read"))]
     Unreadable {
         /// Name of the field.
         field: &'static str,
