--- a/src/admin.rs
+++ b/src/admin.rs
@@ -20,13 +20,13 @@
 use crate::audit::Audit;
 use crate::channels::Channels;
 use crate::direct::peers::build::Build;
+use crate::distribution::Distributor;
 use crate::gateway::core::GatewayCore;
 use crate::http::{self, BadInput, ListenError, ListenSnafu, Listener};
 use crate::message::{Incarnation, Load, RequestId, Timestamp};
 use crate::metrics as m;
 use crate::peer::{explain_local, explain_remote};
 use crate::settings::Settings;
-use crate::spread::Spread;
 
 /// Entries of a list when the request has no `count` parameter.
 const DEFAULT_COUNT: usize = 50;
@@ -52,7 +52,7 @@
     /// Start time of the process.
     pub started: Instant,
     /// Distribution of configuration and host list.
-    pub spread: Arc<Spread>,
+    pub distributor: Arc<Distributor>,
     /// Connections to other processes.
     pub channels: Arc<Channels>,
     /// Audit trail of the process.
@@ -212,9 +212,9 @@
         incarnation: state.incarnation.to_string(),
         build: Build::own(),
         uptime_s: state.started.elapsed().as_secs(),
-        config_version: state.spread.store().version(),
-        platform_age_s: state.spread.platform_age().map(|a| a.as_secs_f64()),
-        peers: state.spread.peers().len(),
+        config_version: state.distributor.store().version(),
+        platform_age_s: state.distributor.platform_age().map(|a| a.as_secs_f64()),
+        peers: state.distributor.peers().len(),
         in_flight: in_flight(&state.role).await.unwrap_or_default(),
         draining: draining.unwrap_or(true),
     }))
@@ -307,9 +307,10 @@
             explain_local(core, id).await
         }
         RoleHandle::Gateway(_) | RoleHandle::Agent(_) => {
-            let (spread, channels) = (state.spread.clone(), state.channels.clone());
-            let asked =
-                state.runtime.spawn(async move { explain_remote(&spread, &channels, &id).await });
+            let (distributor, channels) = (state.distributor.clone(), state.channels.clone());
+            let asked = state
+                .runtime
+                .spawn(async move { explain_remote(&distributor, &channels, &id).await });
             asked.await.ok().flatten()
         }
     };
@@ -323,7 +324,7 @@
 
 async fn config(ctx: &Context<'_>) -> WebResponse {
     let found = authorised(ctx).and_then(|state| {
-        let installed = state.spread.store().installed();
+        let installed = state.distributor.store().installed();
         installed.ok_or_else(|| BadInput::Unknown { what: "a configuration".to_owned() })
     });
     respond(found.map(|installed| installed.config.clone()))
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -24,6 +24,7 @@
 use crate::channels::Channels;
 use crate::config::{Config, EndpointKind};
 use crate::config_store::ConfigStore;
+use crate::distribution::{self, Distributor};
 use crate::gateway;
 use crate::gateway::core::GatewayCore;
 use crate::gateway::http::CallerState;
@@ -35,7 +36,6 @@
 use crate::peer::PeerService;
 use crate::platform::{HostState, Platform};
 use crate::settings::{Role, Settings};
-use crate::spread::{self, Spread};
 use crate::view::{Location, View};
 use crate::wire::MAX_MESSAGE_LEN;
 use crate::wire::v1::agent_server::AgentServer;
@@ -91,7 +91,7 @@
     incarnation: Incarnation,
     audit: Audit,
     channels: Arc<Channels>,
-    spread: Arc<Spread>,
+    distributor: Arc<Distributor>,
     metrics: PrometheusHandle,
     drain: Arc<Notify>,
 }
@@ -103,7 +103,7 @@
         let audit = Audit::new(logging::logger(&settings.host, role));
         let channels = Arc::<Channels>::default();
         let store = Arc::new(ConfigStore::new(audit.clone()));
-        let spread = Arc::new(Spread::new(spread::Setup {
+        let distributor = Arc::new(Distributor::new(distribution::Setup {
             address: settings.internal,
             seeds: settings.peers.clone(),
             polls_per_second: settings.fleet_polls_per_second,
@@ -114,7 +114,7 @@
         }));
         let incarnation = Incarnation(rand::random::<u64>().max(1));
         let drain = Arc::<Notify>::default();
-        Ok(Self { settings, incarnation, audit, channels, spread, metrics, drain })
+        Ok(Self { settings, incarnation, audit, channels, distributor, metrics, drain })
     }
 
     fn admin(&self, role: RoleHandle) -> Result<Listener, ListenError> {
@@ -123,7 +123,7 @@
             settings: self.settings.clone(),
             incarnation: self.incarnation,
             started: Instant::now(),
-            spread: self.spread.clone(),
+            distributor: self.distributor.clone(),
             channels: self.channels.clone(),
             audit: self.audit.clone(),
             metrics: self.metrics.clone(),
@@ -192,7 +192,8 @@
     tokio::spawn(actor::run(core, shell, mailbox));
 
     let internal = bind(settings.internal).await?;
-    let peers = PeerService { spread: base.spread.clone(), gateway: Some(handle.clone()) };
+    let peers =
+        PeerService { distributor: base.distributor.clone(), gateway: Some(handle.clone()) };
     let server = tonic::transport::Server::builder().add_service(peer_server(peers));
     tokio::spawn(server.serve_with_incoming(internal));
     let admin = base.admin(RoleHandle::Gateway(handle.clone()))?;
@@ -206,8 +207,8 @@
         },
         callers_address,
     )?;
-    tokio::spawn(base.spread.clone().run());
-    tokio::spawn(configure_gateway(handle.clone(), base.spread.clone(), settings));
+    tokio::spawn(base.distributor.clone().run());
+    tokio::spawn(configure_gateway(handle.clone(), base.distributor.clone(), settings));
     base.audit.record(Change::Started { incarnation: base.incarnation.to_string() });
 
     base.wait_for_stop().await?;
@@ -225,15 +226,15 @@
 /// Compiles each configuration that comes into force and sends it to the core.
 async fn configure_gateway(
     core: Handle<GatewayCore>,
-    spread: Arc<Spread>,
+    distributor: Arc<Distributor>,
     settings: Arc<Settings>,
 ) {
-    spread.started().await;
-    let mut configs = spread.store().subscribe();
-    let mut hosts = spread.subscribe_hosts();
+    distributor.started().await;
+    let mut configs = distributor.store().subscribe();
+    let mut hosts = distributor.subscribe_hosts();
     let mut applied = 0;
     loop {
-        if let Some(installed) = spread.store().installed()
+        if let Some(installed) = distributor.store().installed()
             && installed.config.version > applied
         {
             applied = installed.config.version;
@@ -243,7 +244,7 @@
             let view = Arc::new(View::new(installed.config.clone(), digest, location));
             core.send(gateway::event::Event::Configure { view }).await.ok();
         }
-        let count = spread.gateways();
+        let count = distributor.gateways();
         core.send(gateway::event::Event::Gateways { count }).await.ok();
         tokio::select! {
             changed = configs.changed() => if changed.is_err() { return },
@@ -267,7 +268,7 @@
         endpoint: endpoint.to_owned(),
         incarnation: base.incarnation,
         client: client.clone(),
-        store: base.spread.store().clone(),
+        store: base.distributor.store().clone(),
         audit: base.audit.clone(),
     };
     let (shell, stages) = agent::shell::shell(
@@ -281,23 +282,23 @@
 
     let internal = bind(settings.internal).await?;
     let service = AgentService { stages, tickets: Arc::new(Tickets::new(base.incarnation)) };
-    let peers = PeerService { spread: base.spread.clone(), gateway: None };
+    let peers = PeerService { distributor: base.distributor.clone(), gateway: None };
     let stages = AgentServer::new(service).max_decoding_message_size(MAX_MESSAGE_LEN);
     let server =
         tonic::transport::Server::builder().add_service(stages).add_service(peer_server(peers));
     tokio::spawn(server.serve_with_incoming(internal));
     let admin = base.admin(RoleHandle::Agent(handle.clone()))?;
-    tokio::spawn(base.spread.clone().run());
+    tokio::spawn(base.distributor.clone().run());
     let configured = ConfiguredEndpoint {
         name: endpoint.to_owned(),
         core: handle.clone(),
         kind,
         audit: base.audit.clone(),
     };
-    tokio::spawn(configure_agent(configured, base.spread.clone(), settings));
-    let spread = base.spread.clone();
+    tokio::spawn(configure_agent(configured, base.distributor.clone(), settings));
+    let distributor = base.distributor.clone();
     tokio::spawn(async move {
-        spread.started().await;
+        distributor.started().await;
         orders.run().await;
     });
     base.audit.record(Change::Started { incarnation: base.incarnation.to_string() });
@@ -324,20 +325,20 @@
 /// Forwards changes of the endpoint in the configuration and the host list to the core.
 async fn configure_agent(
     configured: ConfiguredEndpoint,
-    spread: Arc<Spread>,
+    distributor: Arc<Distributor>,
     settings: Arc<Settings>,
 ) {
-    spread.started().await;
-    let mut configs = spread.store().subscribe();
-    let mut hosts = spread.subscribe_hosts();
+    distributor.started().await;
+    let mut configs = distributor.store().subscribe();
+    let mut hosts = distributor.subscribe_hosts();
     let mut was_leaving = None;
     loop {
-        let listed_leaving = spread
+        let listed_leaving = distributor
             .hosts()
             .hosts
             .iter()
             .any(|h| h.name == settings.host && h.state == HostState::Leaving);
-        if let Some(installed) = spread.store().installed() {
+        if let Some(installed) = distributor.store().installed() {
             let leaving = configured.apply(&installed.config, listed_leaving).await;
             if was_leaving.replace(leaving) != Some(leaving) {
                 configured.record_change(leaving);
--- a/src/spread.rs
+++ b/src/distribution.rs
@@ -86,7 +86,7 @@
 }
 
 /// Document distribution of one process.
-pub struct Spread {
+pub struct Distributor {
     /// Address at which this process serves its peers.
     address: SocketAddr,
     seeds: Vec<SocketAddr>,
@@ -103,7 +103,7 @@
     pulling: Mutex<()>,
 }
 
-/// Settings and dependencies of [`Spread`].
+/// Settings and dependencies of [`Distributor`].
 pub struct Setup {
     /// Address at which this process serves its peers.
     pub address: SocketAddr,
@@ -121,8 +121,8 @@
     pub audit: Audit,
 }
 
-impl Spread {
-    /// Creates the distribution state; [`Spread::run`] starts it.
+impl Distributor {
+    /// Creates the distribution state; [`Distributor::run`] starts it.
     pub fn new(setup: Setup) -> Self {
         Self {
             address: setup.address,
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -10,11 +10,11 @@
 
 use crate::actor::Handle;
 use crate::channels::Channels;
+use crate::distribution::{CONFIG, Distributor, HOSTS};
 use crate::gateway::core::GatewayCore;
 use crate::message::RequestId;
 use crate::metrics as m;
 use crate::policy::explain::Explanation;
-use crate::spread::{CONFIG, HOSTS, Spread};
 use crate::wire::v1::peer_client::PeerClient;
 use crate::wire::{PROTOCOL, v1};
 
@@ -29,7 +29,7 @@
 #[derive(Clone)]
 pub struct PeerService {
     /// Distribution of configuration and host list.
-    pub spread: Arc<Spread>,
+    pub distributor: Arc<Distributor>,
     /// Core of the gateway; `None` in an agent.
     pub gateway: Option<Handle<GatewayCore>>,
 }
@@ -47,10 +47,12 @@
             return Err(Status::failed_precondition("another version of the protocol"));
         }
         if let Ok(peer) = request.address.parse::<SocketAddr>() {
-            let spread = self.spread.clone();
-            tokio::spawn(async move { spread.pull_newer(peer, &request.documents).await.ok() });
+            let distributor = self.distributor.clone();
+            tokio::spawn(
+                async move { distributor.pull_newer(peer, &request.documents).await.ok() },
+            );
         }
-        Ok(Response::new(v1::ExchangeReply { documents: self.spread.versions() }))
+        Ok(Response::new(v1::ExchangeReply { documents: self.distributor.versions() }))
     }
 
     async fn manifest(
@@ -59,10 +61,10 @@
     ) -> Result<Response<v1::ManifestReply>, Status> {
         let manifest = match request.into_inner().document.as_str() {
             CONFIG => {
-                let installed = self.spread.store().installed();
+                let installed = self.distributor.store().installed();
                 installed.and_then(|i| serde_json::to_vec(&i.bundle.manifest).ok())
             }
-            HOSTS => serde_json::to_vec(&*self.spread.hosts()).ok(),
+            HOSTS => serde_json::to_vec(&*self.distributor.hosts()).ok(),
             _ => return Err(Status::not_found("no such document")),
         };
         let manifest = manifest.unwrap_or_default();
@@ -74,7 +76,7 @@
         &self,
         request: Request<v1::PartsRequest>,
     ) -> Result<Response<Self::PartsStream>, Status> {
-        let installed = self.spread.store().installed();
+        let installed = self.distributor.store().installed();
         let installed = installed.ok_or_else(|| Status::not_found("no configuration"))?;
         let (sender, receiver) = mpsc::channel(PARTS_BUFFERED);
         tokio::spawn(async move {
@@ -115,15 +117,15 @@
 
 /// Requests an explanation from the gateway that scheduled the request.
 pub async fn explain_remote(
-    spread: &Spread,
+    distributor: &Distributor,
     channels: &Channels,
     id: &RequestId,
 ) -> Option<Explanation> {
-    let hosts = spread.hosts();
+    let hosts = distributor.hosts();
     let named = hosts.hosts.iter().find(|h| *h.name == *id.gateway).map(|h| h.internal);
     let asked = match named {
         Some(gateway) => vec![gateway],
-        None => spread.peers().into_iter().take(MAX_PEERS_ASKED).collect(),
+        None => distributor.peers().into_iter().take(MAX_PEERS_ASKED).collect(),
     };
     for peer in asked {
         let explained =
