--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -17,7 +17,7 @@
 use stackmast::policy::predict::SizeClass;
 use stackmast::policy::route::{RoutingContext, choose};
 use stackmast::view::{Location, View};
-use stackmast_testbed::deployment::two_years;
+use stackmast_testbed::deployment::projected_config;
 
 const ENDPOINTS: usize = 3_000;
 const ORGANISATIONS: usize = 25_000;
@@ -27,7 +27,7 @@
 }
 
 /// A fleet with a reported load and a measured duration for every endpoint of the subset.
-fn used(view: &View) -> Fleet {
+fn fleet_with_load(view: &View) -> Fleet {
     let mut fleet = Fleet::default();
     let now = Duration::from_secs(10);
     for endpoint in view.endpoints_in_use() {
@@ -47,9 +47,9 @@
 }
 
 fn decisions(criterion: &mut Criterion) {
-    let config = Arc::new(two_years(ENDPOINTS, ORGANISATIONS));
+    let config = Arc::new(projected_config(ENDPOINTS, ORGANISATIONS));
     let view = View::new(config.clone(), String::new(), location());
-    let fleet = used(&view);
+    let fleet = fleet_with_load(&view);
     let now = Duration::from_secs(11);
     let pipeline = view.pipeline("pipeline-0").expect("it exists");
     let labels: Labels = [("kind".to_owned(), "plan".to_owned())].into();
@@ -91,7 +91,7 @@
 }
 
 fn configurations(criterion: &mut Criterion) {
-    let config = two_years(ENDPOINTS, ORGANISATIONS);
+    let config = projected_config(ENDPOINTS, ORGANISATIONS);
     let bundle = split(&config).expect("it is split");
     let config = Arc::new(config);
     let mut group = criterion.benchmark_group("a configuration of two years from now");
--- a/benches/limits.rs
+++ b/benches/limits.rs
@@ -29,7 +29,7 @@
 /// Endpoints of the only pool.
 const ENDPOINTS: usize = 300;
 const REQUESTS: u64 = 5_000;
-const ASKS: u64 = 5_000;
+const PERMIT_REQUESTS: u64 = 5_000;
 
 fn address(port: u16) -> std::net::SocketAddr {
     std::net::SocketAddr::from(([10, 0, 0, 1], port))
@@ -184,19 +184,19 @@
 }
 
 /// Processor time of a limiter per permit request.
-fn ask_time(gateways: u16, limited: usize) -> Duration {
+fn permit_request_time(gateways: u16, limited: usize) -> Duration {
     let mut now = Duration::from_secs(10);
     let mut core = gateway(gateways, limited, now);
     now += Duration::from_secs(2);
     receive_heartbeat(&mut core, gateways, limited, now);
     let begun = Instant::now();
-    for number in 0..ASKS {
+    for number in 0..PERMIT_REQUESTS {
         now += Duration::from_micros(100);
         let limit = limit(number as usize % limited);
         let message = PeerMessage::AskPermit { number, limit, priority: 1, wait: Duration::ZERO };
         core.handle(Event::PeerMessage { from: address(2), message }, now);
     }
-    begun.elapsed() / ASKS as u32
+    begun.elapsed() / PERMIT_REQUESTS as u32
 }
 
 fn main() {
@@ -205,19 +205,21 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     let wait = Duration::from_millis(700);
-    let ask = bytes(PeerMessage::AskPermit { number: 9_000, limit: limit(1), priority: 1, wait });
+    let permit_request =
+        bytes(PeerMessage::AskPermit { number: 9_000, limit: limit(1), priority: 1, wait });
     let permit = bytes(PeerMessage::Permit { number: 9_000, granted: false, retry_after: wait });
     for gateways in GATEWAYS {
         let members = || (1..=gateways).map(member).collect::<Vec<_>>();
         for limited in LIMITED {
-            let news = heartbeat(members(), (0..limited).map(limit).collect());
-            let asked = if limited == 0 { Duration::ZERO } else { ask_time(gateways, limited) };
+            let with_limits = heartbeat(members(), (0..limited).map(limit).collect());
+            let permit_time =
+                if limited == 0 { Duration::ZERO } else { permit_request_time(gateways, limited) };
             println!(
-                "| {gateways} | {limited} | {} B | {} B | {ask} B | {permit} B | {:.1} us | {:.1} us |",
+                "| {gateways} | {limited} | {} B | {} B | {permit_request} B | {permit} B | {:.1} us | {:.1} us |",
                 bytes(heartbeat(members(), Vec::new())),
-                bytes(news),
+                bytes(with_limits),
                 request_time(gateways, limited).as_secs_f64() * 1e6,
-                asked.as_secs_f64() * 1e6,
+                permit_time.as_secs_f64() * 1e6,
             );
         }
     }
--- a/benches/owner.rs
+++ b/benches/owner.rs
@@ -17,7 +17,8 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for (jobs, endpoints) in ROWS {
-        let shape = Shape { jobs, endpoints, lasts: LASTS, beside: false, failing: 0, seed: 1 };
+        let shape =
+            Shape { jobs, endpoints, lasts: LASTS, parallel_stage: false, failing: 0, seed: 1 };
         let cost = OwnerLoad::new(shape).run(|_, _, _, _| {});
         let share = |time: Duration| time.as_secs_f64() / LASTS.as_secs_f64();
         let submitted = cost.submitted as f64;
@@ -27,9 +28,9 @@
             share(cost.submit),
             share(cost.actions),
             cost.total().as_secs_f64() * 1e3 / submitted,
-            cost.held,
+            cost.max_jobs,
             cost.served as f64 / submitted,
-            cost.looked_at as f64 / submitted,
+            cost.examined_jobs as f64 / submitted,
         );
     }
 }
--- a/testbed/src/capacity.rs
+++ b/testbed/src/capacity.rs
@@ -9,7 +9,7 @@
 use stackmast::config::parts::{PartsError, split};
 
 use crate::client::Ask;
-use crate::deployment::{SERVICE_TIMES, Sizes, campsites, two_years};
+use crate::deployment::{SERVICE_TIMES, Sizes, campsites, projected_config};
 use crate::engine::Speed;
 use crate::fleet::{Fleet, FleetError, Process, Program};
 use crate::load::{Ending, Planned, arrivals, drive, rng};
@@ -93,7 +93,7 @@
 /// Prints the sizes of a configuration's parts, and of the parts that a change of one organisation
 /// replaces.
 pub fn print_parts(endpoints: usize, organisations: usize) -> Result<(), CapacityError> {
-    let config = two_years(endpoints, organisations);
+    let config = projected_config(endpoints, organisations);
     let before = split(&config)?;
     let mut changed = config;
     changed.version += 1;
@@ -120,12 +120,12 @@
     endpoints: usize,
     organisations: usize,
 ) -> Result<(), CapacityError> {
-    let mut fleet = Fleet::bare(program, two_years(endpoints, organisations), 1, 1).await?;
+    let mut fleet = Fleet::bare(program, projected_config(endpoints, organisations), 1, 1).await?;
     let agent = fleet.agents.keys().next().cloned().unwrap_or_default();
     let start =
         (usage(&fleet, &fleet.gateways[0]).await?, usage(&fleet, &fleet.agents[&agent]).await?);
     for i in 0..CHANGES {
-        let version = fleet.publish(|config| touch(config, i))?;
+        let version = fleet.publish(|config| change_organisation(config, i))?;
         fleet.wait_version(version).await?;
     }
     let end =
@@ -143,20 +143,21 @@
     Ok(())
 }
 
-fn touch(config: &mut Config, i: u64) {
+fn change_organisation(config: &mut Config, i: u64) {
     let organisation = Arc::make_mut(&mut config.organisations[i as usize]);
     organisation.labels.insert("changed".to_owned(), i.to_string());
 }
 
 /// Prints the time until a change takes effect at `processes` agents, its cost for each process,
 /// and the cost of an idle fleet.
-pub async fn print_spread(program: &Program, processes: usize) -> Result<(), CapacityError> {
-    let mut fleet = Fleet::bare(program, two_years(processes.max(24), 1_000), processes, 1).await?;
+pub async fn print_propagation(program: &Program, processes: usize) -> Result<(), CapacityError> {
+    let mut fleet =
+        Fleet::bare(program, projected_config(processes.max(24), 1_000), processes, 1).await?;
     let before = totals(&fleet).await?;
     let calls = fleet.platform.calls();
     let mut times = Vec::new();
     for i in 0..CHANGES {
-        let version = fleet.publish(|config| touch(config, i))?;
+        let version = fleet.publish(|config| change_organisation(config, i))?;
         let start = Instant::now();
         fleet.wait_version(version).await?;
         times.push(start.elapsed().as_secs_f64());
@@ -252,7 +253,7 @@
         "\nprocesses   median s   most s  ms a change   bytes in  bytes out  idle % core   MiB   calls"
     );
     for &count in processes {
-        print_spread(program, count).await?;
+        print_propagation(program, count).await?;
     }
     Ok(())
 }
--- a/testbed/src/deployment.rs
+++ b/testbed/src/deployment.rs
@@ -236,7 +236,7 @@
 const MODELS: usize = 21;
 
 /// Builds a configuration of the size that is projected for two years from now.
-pub fn two_years(endpoints: usize, organisations: usize) -> Config {
+pub fn projected_config(endpoints: usize, organisations: usize) -> Config {
     let services = ["encoder", "retriever", "reranker"];
     let kinds = MODELS + services.len();
     let endpoint = |i: usize| {
--- a/testbed/src/engine.rs
+++ b/testbed/src/engine.rs
@@ -12,7 +12,7 @@
 use stackmast::agent::orders::Order;
 use tokio::sync::{mpsc, watch};
 
-use crate::runs::{Passed, Run, Runs, token};
+use crate::runs::{Run, Runs, StageData, token};
 use crate::serve::{Answer, Call, Handler, header, json, streamed, whole};
 use crate::service::{Fault, Faults};
 
@@ -163,7 +163,7 @@
     }
 
     fn begin(&self, attempt: &str, call: &Call) -> bool {
-        let passed = Passed::read(call.body());
+        let data = StageData::read(call.body());
         let mut state = self.state();
         if state.streams.contains_key(attempt) {
             return false;
@@ -173,14 +173,14 @@
             stage: "generate".to_owned(),
             request: header(call, REQUEST_HEADER).to_owned(),
             attempt: attempt.to_owned(),
-            key: passed.key.clone(),
+            key: data.key.clone(),
         });
         let prefix = xxhash_rust::xxh3::xxh3_64(&call.body()[..call.body().len().min(256)]);
         let cached = self.touch_prefix(&mut state, prefix);
         let kib = call.body().len() / 1024;
         let stream = Stream {
-            key: passed.key,
-            tokens: passed.tokens.max(1),
+            key: data.key,
+            tokens: data.tokens.max(1),
             prefill: if cached { 0 } else { kib * self.speed.prefill_steps_per_kib },
             priority: header(call, PRIORITY_HEADER).parse().unwrap_or(0),
             text: String::new(),
--- a/testbed/src/frames.rs
+++ b/testbed/src/frames.rs
@@ -190,7 +190,7 @@
     Position::new(2, revision)
 }
 
-fn made() -> StoredResult {
+fn stored_result() -> StoredResult {
     StoredResult { handle: name("10.1.64.7:8080/91bd3f06e44"), endpoint: name("endpoint-2") }
 }
 
@@ -233,7 +233,7 @@
         after: vec![0],
         result_bytes: 96_000,
         pieces: 2,
-        done: vec![made()],
+        done: vec![stored_result()],
     };
     PeerMessage::Submit(Box::new(Job {
         id: job_id(7),
@@ -301,7 +301,7 @@
             not_started: true,
             retry_after: Duration::from_millis(400),
         },
-        PeerMessage::StageDone { job: job_id(7), stage: 1, results: vec![made()] },
+        PeerMessage::StageDone { job: job_id(7), stage: 1, results: vec![stored_result()] },
         PeerMessage::Ready(job_id(7)),
         PeerMessage::Release(job_id(7)),
         suspects(),
--- a/testbed/src/history.rs
+++ b/testbed/src/history.rs
@@ -8,7 +8,7 @@
 
 /// Execution state that a refusal reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SaidRan {
+pub enum ReportedRun {
     /// No stage ran.
     NotRun,
     /// Exactly the listed stages ran.
@@ -25,7 +25,7 @@
     /// A refused request.
     Refused {
         /// Reported execution state.
-        ran: SaidRan,
+        ran: ReportedRun,
         /// Stages that ran according to the refusal.
         stages_run: Vec<String>,
     },
@@ -141,19 +141,19 @@
                     .filter(|stage| ran(stage) == 0)
                     .map(|stage| Breach::NeverRan { key: key(), stage: stage.clone() }),
             ),
-            Seen::Refused { ran: SaidRan::NotRun, .. } => breaches.extend(
+            Seen::Refused { ran: ReportedRun::NotRun, .. } => breaches.extend(
                 names()
                     .find(|stage| ran(stage) > 0)
                     .map(|stage| Breach::FalseNotRun { key: key(), stage: stage.clone() }),
             ),
-            Seen::Refused { ran: SaidRan::InPart, stages_run } => {
+            Seen::Refused { ran: ReportedRun::InPart, stages_run } => {
                 let found: Vec<_> = names().filter(|s| ran(s) > 0).cloned().collect();
                 if found != *stages_run {
                     let said = stages_run.clone();
                     breaches.push(Breach::FalseInPart { key: key(), said, ran: found });
                 }
             }
-            Seen::Refused { ran: SaidRan::Unknown, .. } | Seen::Nothing => {}
+            Seen::Refused { ran: ReportedRun::Unknown, .. } | Seen::Nothing => {}
         }
     }
     breaches
--- a/testbed/src/hop.rs
+++ b/testbed/src/hop.rs
@@ -24,7 +24,7 @@
 
 /// Latency percentiles in microseconds.
 #[derive(Debug, Clone, Copy)]
-struct Cost {
+struct Latency {
     p50: u64,
     p99: u64,
 }
@@ -80,7 +80,7 @@
     Deployment { config, endpoints, proxied: false }
 }
 
-async fn measure_through(fleet: &Fleet, rate: f64, seconds: f64, seed: u64) -> Cost {
+async fn measure_through(fleet: &Fleet, rate: f64, seconds: f64, seed: u64) -> Latency {
     let mut rng = rng(seed);
     let times = arrivals(&mut rng, 0.0, seconds + WARM_UP.as_secs_f64(), rate);
     let planned = times.into_iter().enumerate().map(|(i, at)| Planned {
@@ -92,11 +92,11 @@
     });
     let outcomes = drive(planned.collect()).await;
     let measured = outcomes.iter().filter(|o| o.planned.at >= WARM_UP);
-    cost(measured.map(|o| o.took))
+    latency(measured.map(|o| o.took))
 }
 
 /// Measures the baseline: the caller calls the endpoints directly and sequentially.
-async fn measure_direct(addresses: &[SocketAddr], rate: f64, seconds: f64, seed: u64) -> Cost {
+async fn measure_direct(addresses: &[SocketAddr], rate: f64, seconds: f64, seed: u64) -> Latency {
     let client = Client::default();
     let times = arrivals(&mut rng(seed), 0.0, seconds + WARM_UP.as_secs_f64(), rate);
     let start = Instant::now();
@@ -115,13 +115,13 @@
             (at >= WARM_UP).then(|| start.elapsed().saturating_sub(at))
         });
     }
-    cost(tasks.join_all().await.into_iter().flatten())
+    latency(tasks.join_all().await.into_iter().flatten())
 }
 
-fn cost(times: impl Iterator<Item = Duration>) -> Cost {
+fn latency(times: impl Iterator<Item = Duration>) -> Latency {
     let mut histogram = Histogram::<u64>::new(3).expect("three digits are allowed");
     for time in times {
         histogram.record(time.as_micros() as u64).ok();
     }
-    Cost { p50: histogram.value_at_quantile(0.5), p99: histogram.value_at_quantile(0.99) }
+    Latency { p50: histogram.value_at_quantile(0.5), p99: histogram.value_at_quantile(0.99) }
 }
--- a/testbed/src/load.rs
+++ b/testbed/src/load.rs
@@ -14,8 +14,8 @@
 use tokio::time::Instant;
 
 use crate::client::{Ask, Client, ClientError, Reply};
-use crate::history::{SaidRan, Seen};
-use crate::runs::{Passed, expected_text};
+use crate::history::{ReportedRun, Seen};
+use crate::runs::{StageData, expected_text};
 
 /// Maximum number of requests of one load.
 pub const MAX_REQUESTS: usize = 200_000;
@@ -150,9 +150,9 @@
 
 fn refused(problem: &Value) -> (Ending, String, Seen) {
     let (ending, ran) = match problem["ran"].as_str() {
-        Some("not_run") => (Ending::NotRun, SaidRan::NotRun),
-        Some("ran_in_part") => (Ending::RanInPart, SaidRan::InPart),
-        _ => (Ending::Unknown, SaidRan::Unknown),
+        Some("not_run") => (Ending::NotRun, ReportedRun::NotRun),
+        Some("ran_in_part") => (Ending::RanInPart, ReportedRun::InPart),
+        _ => (Ending::Unknown, ReportedRun::Unknown),
     };
     let stages = problem["stages_run"].as_array().into_iter().flatten();
     let stages_run = stages.filter_map(|s| s.as_str().map(str::to_owned)).collect();
@@ -167,9 +167,9 @@
         return expected_text(&ask.key, ask.tokens);
     }
     let stages = ["encode", "retrieve", "send"].map(str::to_owned).to_vec();
-    let passed =
-        Passed { key: ask.key.clone(), tokens: ask.tokens, stages, padding: String::new() };
-    serde_json::to_string(&passed).unwrap_or_default()
+    let data =
+        StageData { key: ask.key.clone(), tokens: ask.tokens, stages, padding: String::new() };
+    serde_json::to_string(&data).unwrap_or_default()
 }
 
 /// Statistics of a load.
--- a/testbed/src/owner_load.rs
+++ b/testbed/src/owner_load.rs
@@ -50,7 +50,7 @@
     /// Duration of the load.
     pub lasts: Duration,
     /// Whether every third job has an additional parallel stage with large results.
-    pub beside: bool,
+    pub parallel_stage: bool,
     /// Percentage of calls that fail.
     pub failing: u32,
     /// Seed of the random number generator.
@@ -71,9 +71,9 @@
     /// Processor time of completed calls, released results and timers.
     pub rest: Duration,
     /// Maximum number of concurrent jobs.
-    pub held: usize,
+    pub max_jobs: usize,
     /// Number of jobs that the owner examined.
-    pub looked_at: u64,
+    pub examined_jobs: u64,
 }
 
 impl Cost {
@@ -84,16 +84,16 @@
 }
 
 #[derive(Debug)]
-enum Happening {
+enum SimulationEvent {
     Submit,
     Ended(u64, BatchOutcome),
     Release(JobId),
-    Look,
+    RunTimers,
 }
 
 /// Point of the simulation at which a check is called.
 #[derive(Debug)]
-pub enum Moment<'a> {
+pub enum Checkpoint<'a> {
     /// A job is about to be submitted.
     Submits(&'a Job),
     /// Calls are about to be filled with pieces.
@@ -108,7 +108,7 @@
     table: Table,
     scheduler: Scheduler,
     rng: StdRng,
-    happenings: BTreeMap<(Duration, u64), Happening>,
+    events: BTreeMap<(Duration, u64), SimulationEvent>,
     order: u64,
     cost: Cost,
 }
@@ -176,42 +176,42 @@
             table,
             scheduler: Scheduler::new(bounds),
             rng: StdRng::seed_from_u64(shape.seed),
-            happenings: BTreeMap::new(),
+            events: BTreeMap::new(),
             order: 0,
             cost: Cost::default(),
         };
-        load.at(Duration::ZERO, Happening::Submit);
-        load.at(TIMER_INTERVAL, Happening::Look);
+        load.schedule(Duration::ZERO, SimulationEvent::Submit);
+        load.schedule(TIMER_INTERVAL, SimulationEvent::RunTimers);
         load
     }
 
-    fn at(&mut self, time: Duration, happening: Happening) {
+    fn schedule(&mut self, time: Duration, event: SimulationEvent) {
         self.order += 1;
-        self.happenings.insert((time, self.order), happening);
+        self.events.insert((time, self.order), event);
     }
 
     /// Runs until all jobs are complete, and calls `check` at each point.
     pub fn run(
         mut self,
-        mut check: impl FnMut(&mut Scheduler, &Table, Duration, Moment<'_>),
+        mut check: impl FnMut(&mut Scheduler, &Table, Duration, Checkpoint<'_>),
     ) -> Cost {
-        while let Some(((now, _), happening)) = self.happenings.pop_first() {
-            if let Happening::Submit = happening {
+        while let Some(((now, _), event)) = self.events.pop_first() {
+            if let SimulationEvent::Submit = event {
                 let job = self.job();
-                check(&mut self.scheduler, &self.table, now, Moment::Submits(&job));
+                check(&mut self.scheduler, &self.table, now, Checkpoint::Submits(&job));
                 self.submit(job, now);
             } else {
-                self.happen(happening, now);
+                self.process_event(event, now);
             }
-            check(&mut self.scheduler, &self.table, now, Moment::Fills);
+            check(&mut self.scheduler, &self.table, now, Checkpoint::Fills);
             let begun = Instant::now();
             let actions = self.scheduler.actions(&self.table, now);
             self.cost.actions += begun.elapsed();
-            check(&mut self.scheduler, &self.table, now, Moment::Acts(&actions));
+            check(&mut self.scheduler, &self.table, now, Checkpoint::Acts(&actions));
             self.act(actions, now);
-            self.cost.held = self.cost.held.max(self.scheduler.jobs());
+            self.cost.max_jobs = self.cost.max_jobs.max(self.scheduler.jobs());
         }
-        self.cost.looked_at = self.scheduler.examined();
+        self.cost.examined_jobs = self.scheduler.examined();
         self.cost
     }
 
@@ -222,25 +222,25 @@
         self.cost.submit += begun.elapsed();
         let pause = Duration::from_secs_f64(self.rng.random_range(0.5..1.5) / self.shape.jobs);
         if now + pause < self.shape.lasts {
-            self.at(now + pause, Happening::Submit);
+            self.schedule(now + pause, SimulationEvent::Submit);
         }
     }
 
-    fn happen(&mut self, happening: Happening, now: Duration) {
-        let is_look = matches!(happening, Happening::Look);
+    fn process_event(&mut self, event: SimulationEvent, now: Duration) {
+        let is_timer = matches!(event, SimulationEvent::RunTimers);
         let begun = Instant::now();
-        match happening {
-            Happening::Submit => {}
-            Happening::Ended(call, outcome) => {
+        match event {
+            SimulationEvent::Submit => {}
+            SimulationEvent::Ended(call, outcome) => {
                 self.scheduler.batch_ended(call, outcome, &self.table, now);
             }
-            Happening::Release(job) => self.scheduler.release(job, &self.table),
-            Happening::Look => self.scheduler.run_timers(&self.table, now),
+            SimulationEvent::Release(job) => self.scheduler.release(job, &self.table),
+            SimulationEvent::RunTimers => self.scheduler.run_timers(&self.table, now),
         }
         self.cost.rest += begun.elapsed();
         let is_over = now > self.shape.lasts && self.scheduler.is_idle();
-        if is_look && !is_over {
-            self.at(now + TIMER_INTERVAL, Happening::Look);
+        if is_timer && !is_over {
+            self.schedule(now + TIMER_INTERVAL, SimulationEvent::RunTimers);
         }
     }
 
@@ -255,7 +255,7 @@
             done: Vec::new(),
         });
         let mut stages: Vec<JobStage> = stages.collect();
-        if self.shape.beside && number.is_multiple_of(3) {
+        if self.shape.parallel_stage && number.is_multiple_of(3) {
             let pieces = self.rng.random_range(1..=3);
             let (pool, after, done) = (STAGES[0].0.into(), Vec::new(), Vec::new());
             stages.push(JobStage {
@@ -290,11 +290,11 @@
             match action {
                 Action::CallBatch { call, pieces, .. } => {
                     let (outcome, took) = self.outcome(call, pieces.len());
-                    self.at(now + took, Happening::Ended(call, outcome));
+                    self.schedule(now + took, SimulationEvent::Ended(call, outcome));
                 }
                 Action::Send { message: PeerMessage::Ready(job), .. } => {
                     self.cost.served += 1;
-                    self.at(now + FETCH_TIME, Happening::Release(job));
+                    self.schedule(now + FETCH_TIME, SimulationEvent::Release(job));
                 }
                 _ => {}
             }
--- a/testbed/src/proxy.rs
+++ b/testbed/src/proxy.rs
@@ -123,8 +123,8 @@
             return;
         }
         let now = *link.borrow();
-        let room = if now == Link::Trickling { TRICKLE_BUFFER } else { BUFFER };
-        let Ok(len @ 1..) = from.read(&mut buffer[..room]).await else {
+        let limit = if now == Link::Trickling { TRICKLE_BUFFER } else { BUFFER };
+        let Ok(len @ 1..) = from.read(&mut buffer[..limit]).await else {
             return;
         };
         match now {
--- a/testbed/src/runs.rs
+++ b/testbed/src/runs.rs
@@ -43,7 +43,7 @@
 
 /// Data passed between stages in the test bench.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
-pub struct Passed {
+pub struct StageData {
     /// Unique key of the request.
     pub key: String,
     /// Number of tokens that the model generates.
@@ -57,7 +57,7 @@
     pub padding: String,
 }
 
-impl Passed {
+impl StageData {
     /// Parses the input of a stage; the key is empty if it is invalid.
     pub fn read(input: &[u8]) -> Self {
         serde_json::from_slice(input).unwrap_or_default()
--- a/testbed/src/scenario.rs
+++ b/testbed/src/scenario.rs
@@ -49,7 +49,7 @@
 /// Deployment of a scenario.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Which {
+pub enum DeploymentKind {
     /// The campsite keepers' association, with short guest replies.
     Campsites,
     /// The guild of rendering studios, with long briefs.
@@ -91,7 +91,7 @@
 /// A fault, or the end of a fault.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum FaultAction {
     /// Multiplies the durations of the endpoint by this factor.
     Slow(u32),
     /// Kills the agent of the endpoint.
@@ -111,7 +111,7 @@
     /// Prefix of the endpoint names.
     pub endpoint: String,
     /// Fault to inject.
-    pub what: What,
+    pub what: FaultAction,
 }
 
 /// A scenario in its file format.
@@ -121,7 +121,7 @@
     /// Name of the scenario.
     pub name: String,
     /// Deployment to run.
-    pub deployment: Which,
+    pub deployment: DeploymentKind,
     /// Replicas of each service.
     pub services: usize,
     /// Replicas of the model.
@@ -206,8 +206,8 @@
             ..Speed::default()
         };
         match self.deployment {
-            Which::Campsites => campsites(sizes, times, speed),
-            Which::Guild => guild(sizes, times, speed),
+            DeploymentKind::Campsites => campsites(sizes, times, speed),
+            DeploymentKind::Guild => guild(sizes, times, speed),
         }
     }
 
@@ -279,12 +279,12 @@
         let mut fleet = Fleet::start(program, deployment, 2).await?;
         let planned = self.plan(&fleet, round);
         let load = tokio::spawn(drive(planned));
-        self.play_events(&mut fleet).await;
+        self.inject_faults(&mut fleet).await;
         let outcomes = load.await.unwrap_or_default();
         Ok(self.measured(&fleet, policy.0, round, &outcomes))
     }
 
-    async fn play_events(&self, fleet: &mut Fleet) {
+    async fn inject_faults(&self, fleet: &mut Fleet) {
         let start = tokio::time::Instant::now();
         for event in &self.events {
             tokio::time::sleep_until(start + Duration::from_secs_f64(event.at)).await;
@@ -293,10 +293,10 @@
             for name in names {
                 let faults = fleet.stand_ins[&name].faults.clone();
                 match event.what {
-                    What::Slow(times) => faults.set(Fault::Slow(times)),
-                    What::Dead => fleet.agents.get_mut(&name).expect("it is there").kill(),
-                    What::Frozen => fleet.agent_proxies[&name].set(Link::Frozen),
-                    What::Mended => {
+                    FaultAction::Slow(times) => faults.set(Fault::Slow(times)),
+                    FaultAction::Dead => fleet.agents.get_mut(&name).expect("it is there").kill(),
+                    FaultAction::Frozen => fleet.agent_proxies[&name].set(Link::Frozen),
+                    FaultAction::Mended => {
                         faults.set(Fault::None);
                         fleet.agent_proxies[&name].set(Link::Up);
                     }
--- a/testbed/src/service.rs
+++ b/testbed/src/service.rs
@@ -8,7 +8,7 @@
 use stackmast::agent::endpoint::{ATTEMPT_HEADER, REQUEST_HEADER};
 use tokio::sync::Semaphore;
 
-use crate::runs::{Passed, Run, Runs};
+use crate::runs::{Run, Runs, StageData};
 use crate::serve::{Answer, Call, Handler, header, whole};
 
 /// Fault of a stand-in.
@@ -80,13 +80,13 @@
     }
 
     async fn run(&self, call: &Call, stage: &str) -> Vec<u8> {
-        let mut passed = Passed::read(call.body());
+        let mut data = StageData::read(call.body());
         self.runs.add(Run {
             endpoint: self.name.clone(),
             stage: stage.to_owned(),
             request: header(call, REQUEST_HEADER).to_owned(),
             attempt: header(call, ATTEMPT_HEADER).to_owned(),
-            key: passed.key.clone(),
+            key: data.key.clone(),
         });
         let _permit = self.permits.acquire().await;
         let kib = (call.body().len() / 1024) as u32;
@@ -97,9 +97,9 @@
         if self.faults.get() == Fault::Stalls {
             std::future::pending::<()>().await;
         }
-        passed.stages.push(stage.to_owned());
-        passed.padding.clear();
-        serde_json::to_vec(&passed).unwrap_or_default()
+        data.stages.push(stage.to_owned());
+        data.padding.clear();
+        serde_json::to_vec(&data).unwrap_or_default()
     }
 }
 
--- a/testbed/src/soak.rs
+++ b/testbed/src/soak.rs
@@ -62,10 +62,10 @@
     while Instant::now() < until {
         let pause = rng.random_range(0..FAULT_EVERY_MS);
         tokio::time::sleep(Duration::from_millis(pause)).await;
-        break_something(&mut fleet, &mut rng).await?;
+        inject_fault(&mut fleet, &mut rng).await?;
         faults += 1;
     }
-    mend(&mut fleet);
+    clear_faults(&mut fleet);
     let outcomes = load.await.unwrap_or_default();
     tokio::time::sleep(SETTLE).await;
     report(&fleet, &outcomes, faults, seed).await
@@ -86,7 +86,7 @@
     planned.collect()
 }
 
-async fn break_something(fleet: &mut Fleet, rng: &mut StdRng) -> Result<(), FleetError> {
+async fn inject_fault(fleet: &mut Fleet, rng: &mut StdRng) -> Result<(), FleetError> {
     let mut names: Vec<_> = fleet.agents.keys().cloned().collect();
     names.sort_unstable();
     let name = names.choose(rng).cloned().unwrap_or_default();
@@ -150,7 +150,7 @@
     Ok(())
 }
 
-fn mend(fleet: &mut Fleet) {
+fn clear_faults(fleet: &mut Fleet) {
     fleet.platform.set_mode(Mode::Up);
     for proxy in fleet.agent_proxies.values() {
         proxy.set(Link::Up);
--- a/testbed/tests/history.rs
+++ b/testbed/tests/history.rs
@@ -1,6 +1,6 @@
 //! The checker reports violated guarantees, and only those.
 
-use stackmast_testbed::history::{Breach, Request, SaidRan, Seen, check};
+use stackmast_testbed::history::{Breach, ReportedRun, Request, Seen, check};
 use stackmast_testbed::runs::Run;
 use test_case::test_case;
 
@@ -25,15 +25,15 @@
     stages.iter().map(run).collect()
 }
 
-fn refused(ran: SaidRan, stages: &[&str]) -> Seen {
+fn refused(ran: ReportedRun, stages: &[&str]) -> Seen {
     Seen::Refused { ran, stages_run: stages.iter().map(|s| (*s).to_owned()).collect() }
 }
 
 #[test_case(Seen::Whole("answer".to_owned()), &["a", "b"]; "a complete response")]
-#[test_case(refused(SaidRan::NotRun, &[]), &[]; "correctly reported as not run")]
-#[test_case(refused(SaidRan::InPart, &["a"]), &["a"]; "correctly reported as run in part")]
-#[test_case(refused(SaidRan::Unknown, &[]), &["a", "b"]; "unknown, and it ran")]
-#[test_case(refused(SaidRan::Unknown, &[]), &[]; "unknown, and it did not run")]
+#[test_case(refused(ReportedRun::NotRun, &[]), &[]; "correctly reported as not run")]
+#[test_case(refused(ReportedRun::InPart, &["a"]), &["a"]; "correctly reported as run in part")]
+#[test_case(refused(ReportedRun::Unknown, &[]), &["a", "b"]; "unknown, and it ran")]
+#[test_case(refused(ReportedRun::Unknown, &[]), &[]; "unknown, and it did not run")]
 #[test_case(Seen::Nothing, &["a"]; "no response observed")]
 fn good(seen: Seen, ran: &[&str]) {
     assert_eq!(check(&[request(seen)], &runs(ran)), []);
@@ -42,9 +42,9 @@
 #[test_case(Seen::Whole("other".to_owned()), &["a", "b"] => matches Breach::WrongAnswer { .. }; "a response to another request")]
 #[test_case(Seen::Whole("answ".to_owned()), &["a", "b"] => matches Breach::WrongAnswer { .. }; "a truncated response")]
 #[test_case(Seen::Whole("answer".to_owned()), &["b"] => matches Breach::NeverRan { .. }; "a stage that never ran")]
-#[test_case(refused(SaidRan::NotRun, &[]), &["a"] => matches Breach::FalseNotRun { .. }; "falsely reported as not run")]
-#[test_case(refused(SaidRan::InPart, &["a"]), &["a", "b"] => matches Breach::FalseInPart { .. }; "more ran than was reported")]
-#[test_case(refused(SaidRan::InPart, &["a"]), &[] => matches Breach::FalseInPart { .. }; "less ran than was reported")]
+#[test_case(refused(ReportedRun::NotRun, &[]), &["a"] => matches Breach::FalseNotRun { .. }; "falsely reported as not run")]
+#[test_case(refused(ReportedRun::InPart, &["a"]), &["a", "b"] => matches Breach::FalseInPart { .. }; "more ran than was reported")]
+#[test_case(refused(ReportedRun::InPart, &["a"]), &[] => matches Breach::FalseInPart { .. }; "less ran than was reported")]
 #[test_case(Seen::Nothing, &["a", "a"] => matches Breach::RanTwice { .. }; "a duplicate run")]
 fn bad(seen: Seen, ran: &[&str]) -> Breach {
     let breaches = check(&[request(seen)], &runs(ran));
--- a/tests/direct_ledger.rs
+++ b/tests/direct_ledger.rs
@@ -6,20 +6,20 @@
 use std::time::Duration;
 
 use directenv::recount::{Compared, Recount};
-use stackmast_testbed::owner_load::{Moment, OwnerLoad, Shape};
+use stackmast_testbed::owner_load::{Checkpoint, OwnerLoad, Shape};
 use test_case::test_case;
 
 fn shape(jobs: f64, endpoints: usize, failing: u32, seed: u64) -> Shape {
-    Shape { jobs, endpoints, lasts: Duration::from_secs(4), beside: true, failing, seed }
+    Shape { jobs, endpoints, lasts: Duration::from_secs(4), parallel_stage: true, failing, seed }
 }
 
 /// Runs a load and compares every decision with the recomputed one.
 fn compared(shape: Shape) -> Compared {
     let mut recount = Recount::default();
     OwnerLoad::new(shape).run(|scheduler, table, now, moment| match moment {
-        Moment::Submits(job) => recount.submits(scheduler, job, table, now),
-        Moment::Fills => recount.fills(scheduler, table, now),
-        Moment::Acts(actions) => recount.acts(actions),
+        Checkpoint::Submits(job) => recount.submits(scheduler, job, table, now),
+        Checkpoint::Fills => recount.fills(scheduler, table, now),
+        Checkpoint::Acts(actions) => recount.acts(actions),
     });
     recount.compared
 }
@@ -63,9 +63,10 @@
 fn the_jobs_checked_per_job_do_not_grow_with_the_held_jobs() {
     let few = OwnerLoad::new(shape(20.0, 12, 0, 1)).run(|_, _, _, _| {});
     let many = OwnerLoad::new(shape(500.0, 300, 0, 1)).run(|_, _, _, _| {});
-    assert!(many.held > few.held * 15, "{} and {}", few.held, many.held);
-    let a_job =
-        |cost: &stackmast_testbed::owner_load::Cost| cost.looked_at as f64 / cost.submitted as f64;
+    assert!(many.max_jobs > few.max_jobs * 15, "{} and {}", few.max_jobs, many.max_jobs);
+    let a_job = |cost: &stackmast_testbed::owner_load::Cost| {
+        cost.examined_jobs as f64 / cost.submitted as f64
+    };
     let (few, many) = (a_job(&few), a_job(&many));
     assert!(many <= few * 1.5, "{few:.1} jobs looked at for a job among few, {many:.1} among many");
 }
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use stackmast::agent::orders::{desired_load, load_delay};
 use stackmast_testbed::client::Client;
-use stackmast_testbed::deployment::two_years;
+use stackmast_testbed::deployment::projected_config;
 use stackmast_testbed::fleet::Fleet;
 
 fn loaded(fleet: &Fleet) -> Vec<String> {
@@ -50,7 +50,7 @@
 
 #[test]
 fn engines_load_in_turn_within_the_weight_stores_rate() {
-    let mut config = two_years(240, 10);
+    let mut config = projected_config(240, 10);
     config.placements.push(stackmast::config::Placement {
         endpoints: stackmast_testbed::deployment::selector("service=model-0"),
         model: "m".to_owned(),
--- a/tests/schedules/mod.rs
+++ b/tests/schedules/mod.rs
@@ -23,7 +23,7 @@
 use stackmast::message::{AttemptId, Incarnation, Ran, Run, Timestamp};
 use stackmast::view::{Location, View};
 use stackmast_testbed::deployment::{labels, selector};
-use stackmast_testbed::history::{self, Breach, SaidRan, Seen};
+use stackmast_testbed::history::{self, Breach, ReportedRun, Seen};
 use stackmast_testbed::runs;
 
 pub const GATEWAYS: usize = 2;
@@ -441,9 +441,9 @@
             }
             Answer::Refused { refusal, .. } => Seen::Refused {
                 ran: match refusal.ran {
-                    Ran::NotRun => SaidRan::NotRun,
-                    Ran::RanInPart => SaidRan::InPart,
-                    Ran::Unknown => SaidRan::Unknown,
+                    Ran::NotRun => ReportedRun::NotRun,
+                    Ran::RanInPart => ReportedRun::InPart,
+                    Ran::Unknown => ReportedRun::Unknown,
                 },
                 stages_run: refusal.stages_run,
             },
